--- a/src/common/cell/AdviceDesk.test.ts
+++ b/src/common/cell/AdviceDesk.test.ts
@@ -1,5 +1,5 @@
 /**
- * Which machine asks for advice, with a service whose answers the test gives.
+ * Which machine calls the advice service, with answers that the test gives.
  */
 
 import test from 'ava'
@@ -12,40 +12,40 @@
 const SLOW_MS = 1000
 const SHORT_MS = 25
 
-/** Two regions; the owner is in the west. */
+/** Three regions; the owner is in the west. */
 const MACHINES = ['east-1', 'east-2', 'north-1', 'west-1', 'west-2'].map((name) => ({ name, isNear: name.startsWith('west') }))
 
-function desk () {
+function createDispatcher () {
   const sent: { readonly machine: string, readonly jobId: string, readonly answer: (outcome: AdviceOutcome) => void }[] = []
-  const made = new AdviceDesk({
+  const dispatcher = new AdviceDesk({
     machines: () => MACHINES,
     send: async (machine, { jobId }) => await new Promise((resolve) => { sent.push({ machine, jobId, answer: resolve }) })
   }, new ManualClock())
   const ask = (jobId: string, expectedMs: number, priority = 1): void => {
-    made.ask({ jobId, step: 0, hostIds: [], priority, dueMs: 0, expectedMs, isWanted: () => true, settle: () => {} })
+    dispatcher.ask({ jobId, step: 0, hostIds: [], priority, dueMs: 0, expectedMs, isWanted: () => true, settle: () => {} })
   }
   return { sent, ask, machines: () => sent.map(({ machine }) => machine) }
 }
 
 test('a short call goes through a near machine', (t) => {
-  // Through another region an urgent job's advice takes four times as long, with near machines idle.
-  const { ask, machines } = desk()
+  // Through another region, the advice call of an urgent job takes four times as long, although near machines are idle.
+  const { ask, machines } = createDispatcher()
   for (let number = 0; number < 4; number += 1) ask(`job-${number}`, SHORT_MS, 0)
   t.true(machines().every((name) => name.startsWith('west')))
 })
 
 test('slow calls leave machines free for short ones', (t) => {
-  // The service handles one call at a time for each machine. Behind a slow one, an urgent job's advice would come after its
-  // objective.
-  const { ask, machines } = desk()
+  // The service handles one call at a time for each machine. Behind a slow call, the advice for an urgent job would arrive after
+  // its objective.
+  const { ask, machines } = createDispatcher()
   for (let number = 0; number < 9; number += 1) ask(`slow-${number}`, SLOW_MS)
   t.deepEqual([...machines()].sort(), ['east-1', 'east-2', 'north-1'])
   ask('urgent', SHORT_MS, 0)
   t.regex(machines().at(-1) ?? '', /^west/)
 })
 
-test('what waits is asked by urgency as soon as a machine is free', async (t) => {
-  const { ask, sent } = desk()
+test('waiting calls are sent by urgency as soon as a machine is free', async (t) => {
+  const { ask, sent } = createDispatcher()
   for (let number = 0; number < 3; number += 1) ask(`slow-${number}`, SLOW_MS)
   ask('patient', SLOW_MS, 2)
   ask('sooner', SLOW_MS, 1)
--- a/src/common/cell/AdviceDesk.ts
+++ b/src/common/cell/AdviceDesk.ts
@@ -1,10 +1,10 @@
 /**
- * Decides which machine asks the advice service for a step, and when.
+ * Decides which machine calls the advice service for a step, and when.
  *
- * The service handles one call at a time for each machine that calls, and a call takes from tens of milliseconds to more
- * than a second, by queue. The load this answers: a burst of wide slow steps beside many urgent ones with a fast advice.
- * Sent to the nearest machine, an urgent step would wait behind a slow call for longer than its whole objective. So slow
- * calls are kept to some of the machines, each machine has few calls on the way, and what waits goes by urgency.
+ * The service handles one call at a time for each calling machine, and a call takes from tens of milliseconds to more than a
+ * second, depending on the queue. The design case is a burst of wide steps with slow calls beside many urgent steps with fast
+ * ones: sent through the nearest machine, an urgent step would wait behind a slow call for longer than its whole objective. So
+ * slow calls are limited to some of the machines, each machine has few calls in flight, and waiting calls are sent by urgency.
  */
 
 import type { IClock, MonotonicMs } from '../Types.js'
@@ -15,16 +15,16 @@
   readonly dueMs: number
   /** How long the service needs for it, in ms. */
   readonly expectedMs: number
-  /** Whether it is still of use; looked at when its turn comes. */
+  /** Whether the answer is still needed; checked when the call is about to be sent. */
   isWanted (): boolean
-  /** @param sentAtMs absent where it was never sent */
+  /** @param sentAtMs undefined if the call was never sent */
   settle (outcome: AdviceOutcome, sentAtMs?: MonotonicMs): void
 }
 
-/** A machine that can ask now. */
+/** A machine that can call the service now. */
 export interface IAdviceMachine {
   readonly name: string
-  /** In the region of the owner. */
+  /** Whether it is in the region of the owner. */
   readonly isNear: boolean
 }
 
@@ -33,22 +33,22 @@
   send (machine: string, ask: IAdviceAsk, timeoutMs: number): Promise<AdviceOutcome>
 }
 
-/** A call that takes longer than this keeps others waiting for too long beside an objective of half a second, in ms. */
+/** A call that takes longer than this counts as slow, in ms: others would wait behind it for too long, given an objective of half a second. */
 const SLOW_CALL_MS = 300
-/** The share of the machines that ask slow calls. The others stay free for short ones: an urgent step behind a slow call would be late. */
+/** The share of the machines that make slow calls. The others stay free for short ones, since an urgent step behind a slow call would be late. */
 const SLOW_MACHINE_SHARE = 0.6
-/** Short calls on the way from one machine: two, so that the service never idles for a round trip between regions. */
+/** The number of short calls in flight from one machine: two, so that the service never idles for a round trip between regions. */
 const SHORT_CALLS_AT_ONCE = 2
-/** What a call may take beyond its expected time, in ms: two round trips between regions and one short call ahead of it. */
+/** How much longer than expected a call may take, in ms: two round trips between regions and one short call ahead of it. */
 const CALL_SLACK_MS = 700
 
-interface IMachine {
+interface IMachineLoad {
   slow: number
   short: number
 }
 
 export class AdviceDesk {
-  private readonly _machines = new Map<string, IMachine>()
+  private readonly _loads = new Map<string, IMachineLoad>()
   private _waiting: IAdviceCall[] = []
 
   public constructor (private readonly _sender: IAdviceSender, private readonly _clock: IClock) {}
@@ -59,18 +59,18 @@
 
   public ask (call: IAdviceCall): void {
     this._waiting.push(call)
-    this.pump()
+    this.sendWaiting()
   }
 
-  /** Sends what can be sent; to be called when machines come or go. */
-  public pump (): void {
+  /** Sends the calls that can be sent. To be called when machines come or go. */
+  public sendWaiting (): void {
     if (this._waiting.length === 0) return
     this._waiting.sort((a, b) => a.priority - b.priority || a.dueMs - b.dueMs)
     const left: IAdviceCall[] = []
     const unwanted: IAdviceCall[] = []
     const names = farFirst(this._sender.machines())
     for (const call of this._waiting) {
-      const name = this._choose(names, call)
+      const name = this._chooseMachine(names, call)
       if (!call.isWanted()) unwanted.push(call)
       else if (name === undefined) left.push(call)
       else this._send(name, call)
@@ -83,12 +83,12 @@
     for (const call of this._waiting.splice(0)) call.settle({ kind: 'failed', reason: 'no longer the owner' })
   }
 
-  private _choose (names: readonly string[], call: IAdviceCall): string | undefined {
+  private _chooseMachine (names: readonly string[], call: IAdviceCall): string | undefined {
     const isSlow = isSlowCall(call.expectedMs)
     const slowCount = Math.max(1, Math.floor(names.length * SLOW_MACHINE_SHARE))
     const slow = names.slice(0, slowCount)
     if (isSlow) return this._leastLoaded(slow, true)
-    // Short calls look at the machines that take no slow ones first, and among these at the near ones.
+    // Short calls use the machines without slow calls first, and of these the near ones first.
     return this._leastLoaded(names.slice(slowCount).reverse(), false) ?? this._leastLoaded(slow, false)
   }
 
@@ -96,7 +96,7 @@
     let best: string | undefined
     let bestLoad = Infinity
     for (const name of names) {
-      const { slow, short } = this._machineOf(name)
+      const { slow, short } = this._loadOf(name)
       const isFree = isSlow ? slow + short === 0 : slow === 0 && short < SHORT_CALLS_AT_ONCE
       if (isFree && short < bestLoad) {
         best = name
@@ -107,27 +107,27 @@
   }
 
   private _send (name: string, call: IAdviceCall): void {
-    const machine = this._machineOf(name)
+    const load = this._loadOf(name)
     const kind = isSlowCall(call.expectedMs) ? 'slow' : 'short'
-    machine[kind] += 1
+    load[kind] += 1
     const { jobId, step, hostIds } = call
     const sentAtMs = this._clock.nowMs()
     const done = (outcome: AdviceOutcome): void => {
-      machine[kind] -= 1
+      load[kind] -= 1
       call.settle(outcome, sentAtMs)
-      this.pump()
+      this.sendWaiting()
     }
     this._sender.send(name, { jobId, step, hostIds }, call.expectedMs + CALL_SLACK_MS)
       .then(done, (error: unknown) => { done({ kind: 'failed', reason: String(error) }) })
   }
 
-  private _machineOf (name: string): IMachine {
-    let machine = this._machines.get(name)
-    if (machine === undefined) {
-      machine = { slow: 0, short: 0 }
-      this._machines.set(name, machine)
+  private _loadOf (name: string): IMachineLoad {
+    let load = this._loads.get(name)
+    if (load === undefined) {
+      load = { slow: 0, short: 0 }
+      this._loads.set(name, load)
     }
-    return machine
+    return load
   }
 }
 
@@ -136,7 +136,8 @@
 }
 
 /**
- * Far machines take the slow calls: a round trip between regions is little beside a second, and much beside a short call.
+ * Sorts far machines first, so that they take the slow calls: a round trip between regions matters little for a call of a second,
+ * and much for a short one.
  */
 function farFirst (machines: readonly IAdviceMachine[]): readonly string[] {
   const sorted = [...machines].sort((a, b) => Number(a.isNear) - Number(b.isNear) || (a.name < b.name ? -1 : 1))
--- a/src/common/cell/Attempt.ts
+++ b/src/common/cell/Attempt.ts
@@ -1,12 +1,14 @@
 /**
- * One run of one task on one host, from the moment its room is taken until it is certain that it neither runs nor ever
- * will. Its states are those of `charts/attempt.json`:
+ * One run of one task on one host, from the allocation of its resources until it is certain that it neither runs nor ever will.
+ * Its states are those of `charts/attempt.json`:
  *
- * - `preparing`: room is taken; the store doesn't have the run yet, or its ticket isn't there. No order was sent.
- * - `ordered`: the order is on its way.
- * - `unsure`: the order had no answer; it may be carried out until its deadline on the host's clock.
- * - `recovering`: an earlier owner recorded it; the host hasn't told yet whether it runs.
- * - `running`, `stopping`: the host has it.
+ * - `preparing`: resources are allocated, but the run is not recorded in the store yet, or its ticket is missing. No order was
+ *   sent.
+ * - `ordered`: the start order is on its way.
+ * - `unsure`: the start order had no answer; the host may carry it out until its deadline on the host's clock.
+ * - `recovering`: an earlier owner recorded the run; the host hasn't reported yet whether it runs.
+ * - `running`: the host has the run.
+ * - `stopping`: a stop was requested, and the host has not reported the end of the run yet.
  * - `gone`: it runs nowhere and never will.
  */
 
@@ -19,28 +21,28 @@
 export type AttemptPhase = 'preparing' | 'ordered' | 'unsure' | 'recovering' | 'running' | 'stopping' | 'gone'
 export type AttemptEvent = 'ORDER' | 'DROP' | 'LISTED' | 'NOT_RUN' | 'UNANSWERED' | 'STOP' | 'ENDED' | 'LOST'
 
-/** What a run is stopped for: its job has ended so, its gang can't go on, or it stands still. */
+/** Why a run is stopped: the phase in which its job ended, its gang can't continue, or it has stalled. */
 export type StopReason = JobPhase | 'gang' | 'stalled'
 
 export class Attempt {
   private _phase: AttemptPhase
   public ticket = ''
-  /** Whether the store has the run. */
+  /** Whether the run is recorded in the store. */
   public isRecorded = false
-  /** On the host's clock: an order that arrives later is refused. */
+  /** On the host's clock. The host refuses an order that arrives later. */
   public deadlineMs = 0
-  /** When the host last told that it has the run; a list asked for after that shows it or its end. */
-  public knownAtMs: MonotonicMs = Infinity
-  /** When the host had taken note of the stop: from then on it won't begin the run. */
-  public barredAtMs: MonotonicMs = Infinity
+  /** When the host last reported that it has the run. A list requested after that shows the run or its end. */
+  public reportedAtMs: MonotonicMs = Infinity
+  /** When the host had confirmed the stop. From then on it won't start the run. */
+  public stopConfirmedAtMs: MonotonicMs = Infinity
   public startedAtMs: MonotonicMs
-  /** An earlier owner started it: when isn't known. */
+  /** Whether an earlier owner started it, so that its start time is unknown. */
   public readonly isInherited: boolean
-  /** The last progress that the host told, and when it was first seen. */
+  /** The last progress that the host reported, and when that value was first seen. */
   public percent = 0
   public percentAtMs: MonotonicMs
-  public stopAskedAtMs: MonotonicMs = -Infinity
-  /** Why it was stopped; absent where it wasn't. */
+  public stopSentAtMs: MonotonicMs = -Infinity
+  /** Why it was stopped; undefined if it wasn't. */
   public stopReason: StopReason | undefined
   public readonly preparedAtMs: MonotonicMs
 
@@ -68,19 +70,19 @@
     return { jobId: step.job.spec.jobId, step: step.number, index, run: this.run }
   }
 
-  /** Whether the host may have heard of it. */
+  /** Whether the host may have received an order for it. */
   public get wasOrdered (): boolean {
     return this._phase !== 'preparing'
   }
 
-  /** Moves on; an event that the phase doesn't take changes nothing and gives false. */
-  public take (event: AttemptEvent): boolean {
+  /** Applies an event to the state chart. Returns false and changes nothing if the present phase has no transition for it. */
+  public transition (event: AttemptEvent): boolean {
     if (!this._chart.takes(this._phase, event)) return false
     this._phase = this._chart.next(this._phase, event) as AttemptPhase
     return true
   }
 
-  public notePercent (percent: number, nowMs: MonotonicMs): void {
+  public updatePercent (percent: number, nowMs: MonotonicMs): void {
     if (percent === this.percent) return
     this.percent = percent
     this.percentAtMs = nowMs
--- a/src/common/cell/CellScheduler.test.ts
+++ b/src/common/cell/CellScheduler.test.ts
@@ -1,5 +1,5 @@
 /**
- * The owner's decisions on simulated hosts, in calm and with faults.
+ * The owner's decisions on simulated hosts, without faults and with them.
  */
 
 import test from 'ava'
@@ -17,9 +17,9 @@
   t.is(cell.hosts.flatMap((host) => host.started).length, 6)
 })
 
-test('completed is told only once it is stored', async (t) => {
-  // The store goes away while the last task runs. Were completion told from memory, a caller would hear "completed", and
-  // after the owner's death "running" for the same job.
+test('completion is reported only once it is stored', async (t) => {
+  // The store is unreachable while the last task runs. If completion were reported from memory, a caller would be told
+  // "completed", and "running" for the same job after the owner's death.
   const cell = new SimulatedCell({ hosts: 1 })
   const job = cell.submit([{}])
   await cell.run(500)
@@ -32,9 +32,9 @@
   t.is(job.shownPhase, 'completed')
 })
 
-test('work behind a gang that can never fit goes on', async (t) => {
-  // A gang is so wide that the few hosts it may use could not hold it if they were empty. Keeping room for it would leave
-  // those hosts idle for ever: a caller behind it would see a job wait beside empty hosts.
+test('work behind a gang that can never fit continues', async (t) => {
+  // A gang is so wide that the few hosts it may use couldn't hold it if they were empty. Reserving capacity for it would leave
+  // those hosts idle for ever, with jobs waiting beside them.
   const cell = new SimulatedCell({ hosts: 4, allows: () => true })
   const advice = { baseMs: 10, perHostMs: 0.1, validMs: 1500 }
   cell.submit([{ count: 5, cpuMillicores: 8000, gang: true }], { advice })
@@ -44,9 +44,9 @@
   t.is(behind.shownPhase, 'completed')
 })
 
-test('a waiting gang gets its room although narrow work comes without end', async (t) => {
-  // Narrow tasks take each piece of room as it comes free. Without room kept together, the gang's caller would wait until
-  // the stream of narrow work ends.
+test('a waiting gang gets its capacity although narrow work keeps arriving', async (t) => {
+  // Narrow tasks take each piece of capacity as soon as it becomes free. Without a reservation, the gang would wait until the
+  // stream of narrow work ends.
   const cell = new SimulatedCell({ hosts: 2 })
   for (let i = 0; i < 14; i += 1) cell.submit([{ estimateMs: 1000 }], { priority: 2 })
   await cell.run(300)
@@ -61,8 +61,8 @@
 })
 
 test('after the owner has died, its successor starts nothing twice and loses nothing', async (t) => {
-  // The owner dies with tasks running. Its successor knows only the store and what the hosts tell; a caller would notice a
-  // task that runs twice, or a job that never ends.
+  // The owner dies while tasks run. Its successor knows only the store and the hosts' reports, and must neither start a task
+  // twice nor lose a job.
   const cell = new SimulatedCell({ hosts: 3 })
   const jobs = Array.from({ length: 6 }, () => cell.submit([{ count: 3 }, { count: 1, after: [0] }]))
   await cell.run(700)
@@ -73,8 +73,8 @@
   t.is(cell.hosts.flatMap((host) => host.started).length, 24)
 })
 
-test('what a silent host may run is started elsewhere only after its last lease has ended', async (t) => {
-  // A host is cut off and runs on. Started elsewhere too early, a task would run in two places.
+test('a task that a silent host may run is started elsewhere only after its last lease has ended', async (t) => {
+  // A host is cut off but keeps running its tasks. If they were started elsewhere too early, they would run in two places.
   const cell = new SimulatedCell({ hosts: 2, host: { workMs: () => 60_000 } })
   const job = cell.submit([{ count: 2, maxPerHost: 1 }])
   await cell.run(1000)
@@ -86,9 +86,8 @@
   t.true(job.steps[0]?.tasks.every((task) => task.attempt?.host.hostId === 'host-1' || task.attempt === undefined))
 })
 
-test('an order without an answer that is carried out late neither doubles a task nor overfills a host', async (t) => {
-  // Answers are lost and the orders are carried out seconds later. A caller would see a task run twice; an operator would
-  // see a host above its capacity.
+test('an unanswered order that is carried out late neither runs a task twice nor exceeds the capacity of a host', async (t) => {
+  // Answers are lost, and the orders are carried out seconds later. A task would run twice, or a host would exceed its capacity.
   const cell = new SimulatedCell({ hosts: 2, host: { cpuMillicores: 2000 } })
   cell.host(0).losesStarts = true
   const jobs = Array.from({ length: 4 }, () => cell.submit([{}], { priority: 0 }))
@@ -103,9 +102,9 @@
   t.true(cell.mostOverCapacity <= 0)
 })
 
-test('a late order is not carried out by the next life of its host', async (t) => {
-  // A start had no answer, and its host restarts under the same id. The new life knows no fence and no run: were the run not
-  // barred there, it would run late, beside the one that took its place.
+test('a late order is not carried out by the next incarnation of its host', async (t) => {
+  // A start had no answer, and its host restarts under the same id. The new incarnation knows no fence and no run: unless the run
+  // is stopped there first, it would start late, beside the run that replaced it.
   const cell = new SimulatedCell({ hosts: 2, host: { workMs: () => 5000 } })
   cell.host(0).losesStarts = true
   cell.host(1).losesStarts = true
@@ -122,8 +121,8 @@
   t.is(cell.mostRunsOfOneTask, 1)
 })
 
-test('a run that stands still is stopped and started on another host', async (t) => {
-  // A host keeps its tasks without doing anything, in good health. The caller would wait for ever.
+test('a stalled run is stopped and started on another host', async (t) => {
+  // A host makes no progress on its tasks but reports good health. The caller would wait for ever.
   const cell = new SimulatedCell({ hosts: 2 })
   cell.host(0).isStuck = true
   const jobs = Array.from({ length: 4 }, () => cell.submit([{ count: 2, maxPerHost: 1 }], { priority: 0 }))
@@ -133,8 +132,8 @@
 })
 
 test('a host that fails all it starts does not use up the attempts of many jobs', async (t) => {
-  // One host of four ends each task at once as failed, so it always has room and would draw all work to itself. Callers would
-  // see jobs fail whose work was never at fault.
+  // One host of four ends each task immediately as failed, so it always has room and would attract all work. Jobs would fail
+  // although nothing is wrong with them.
   const cell = new SimulatedCell({ hosts: 4 })
   Object.assign(cell.host(0).options, { workMs: () => 50, endOf: () => 'failed' })
   const jobs = []
@@ -148,7 +147,7 @@
 })
 
 test('a job fails after as many failed runs as its queue allows, and no run is started after that', async (t) => {
-  // A job can't be done. Its caller is told so, and hosts aren't kept busy with it.
+  // The job can't succeed. Its caller is told so, and no further runs occupy hosts.
   const cell = new SimulatedCell({ hosts: 3, host: { endOf: () => 'failed' } })
   const job = cell.submit([{}], { maxAttempts: 3 })
   await cell.run(15_000)
@@ -178,9 +177,9 @@
   t.true(job.steps.every((step) => step.isQuiet))
 })
 
-test('a run whose ticket ran out while it was recorded gets a new one', async (t) => {
-  // The store takes longer to record a run than its ticket is good for. The run would keep its room and its task for ever:
-  // a caller would see a job stop halfway in an empty cell.
+test('a run whose ticket expired while it was recorded gets a new one', async (t) => {
+  // The store takes longer to record a run than its ticket is valid. The run would keep its resources and its task for ever, and
+  // the job would stop halfway in an empty cell.
   const cell = new SimulatedCell({ hosts: 2, saveMs: 700 })
   const advice = { baseMs: 10, perHostMs: 0.1, validMs: 600 }
   const job = cell.submit([{ count: 3 }], { advice })
@@ -190,7 +189,7 @@
   t.is(gang.shownPhase, 'completed')
 })
 
-test('no order carries a ticket that ended while the answer with it was on its way', async (t) => {
+test('no order carries a ticket that expired before the answer with it arrived', async (t) => {
   const cell = new SimulatedCell({ hosts: 4, saveMs: 700, adviceMs: () => 50, adviceLateMs: 1000, ticketValidMs: 1500 })
   const advice = { baseMs: 50, perHostMs: 0, validMs: 1500 }
   const job = cell.submit([{ count: 3 }], { advice })
@@ -201,9 +200,9 @@
   t.is(gang.shownPhase, 'completed')
 })
 
-test('a gang of which one member gets no ticket is given up whole and tried again', async (t) => {
-  // The tickets of a gang ran out, and the call for new ones leaves out a host that has just restarted. Were only that member
-  // given up, the others would keep their room and wait for it for ever: a caller would see a job stop in an empty cell.
+test('a gang of which one member gets no ticket is dropped as a whole and tried again', async (t) => {
+  // The tickets of a gang expire, and the call for new ones omits a host that has just restarted. If only that member were
+  // dropped, the others would keep their resources and wait for it for ever.
   let calls = 0
   const cell = new SimulatedCell({
     hosts: 3,
@@ -221,9 +220,9 @@
 })
 
 test('a gang in a large cell that is three quarters full starts after one round of advice', async (t) => {
-  // Every host has room for one member, and a quarter of the hosts may run the step. Asked about as many hosts as would hold the
-  // gang if they were empty, the service allows half of what it needs; a sweep's caller would see seconds go by in
-  // further rounds, beside room for all of it.
+  // Every host has room for one member, and a quarter of the hosts may run the step. If it named as many hosts as would hold the
+  // gang if they were empty, the service would allow half of the places it needs, and further rounds of calls would take seconds
+  // although there is room for all of it.
   const cell = new SimulatedCell({
     hosts: 200,
     host: { workMs: ({ jobId }) => jobId.endsWith('1') ? 60_000 : 1000 },
@@ -238,8 +237,9 @@
   t.true(cell.mostOverCapacity <= 0)
 })
 
-test('gangs that come together start after one round of advice, each about hosts of its own', async (t) => {
-  // All asked about the emptiest hosts, the same ones, and all but the first needed two or three further rounds in an empty cell.
+test('gangs that arrive together start after one round of advice, since each names other hosts', async (t) => {
+  // If all gangs named the emptiest hosts, these would be the same ones, and all but the first gang would need two or three
+  // further rounds in an empty cell.
   const cell = new SimulatedCell({
     hosts: 200,
     adviceMachines: 60,
@@ -253,7 +253,7 @@
   t.deepEqual(gangs.map((gang) => gang.hasStarted), gangs.map(() => true))
 })
 
-test('a gang asks about many hosts at once only where a further round of advice is slow', async (t) => {
+test('a gang names many hosts at once only if a further round of advice is slow', async (t) => {
   const namedAtOnce = async (baseMs: number): Promise<number> => {
     const named = new Set<string>()
     const cell = new SimulatedCell({
--- a/src/common/cell/CellScheduler.ts
+++ b/src/common/cell/CellScheduler.ts
@@ -1,6 +1,6 @@
 /**
- * The owner's decisions: which job is taken, what runs next and where, what is stopped. Free of input and output; what
- * it wants done goes through its effects.
+ * Makes the owner's scheduling decisions: which jobs are admitted, which tasks start next and where, and which runs are stopped.
+ * It does no input or output itself: it acts through the effects that it is given.
  */
 
 import type { ILogger } from '../observability/Types.js'
@@ -17,45 +17,45 @@
 import type { IRecordedRun } from './JobRecord.js'
 import { planGang, planTasks, urgentHeadroom } from './Placement.js'
 import type { IPlacement, IPlacementView } from './Placement.js'
-import { plus } from './Room.js'
+import { addResources } from './Room.js'
 import { RunController } from './RunController.js'
 import type { IRunEffects } from './RunController.js'
 import { StalledRuns } from './StalledRuns.js'
 import type { IHoldAnswer, IHostEntry, IRunRef, StopOutcome } from './Types.js'
 
-export interface ICellEffects extends Omit<IRunEffects, 'noteChange' | 'requestTickets' | 'noteStarted'>, IAdviceEffects {
+export interface ICellEffects extends Omit<IRunEffects, 'onChange' | 'requestTickets' | 'onStarted'>, IAdviceEffects {
   stopUnknown (host: IHostEntry, ref: IRunRef): Promise<StopOutcome>
 }
 
 export interface ICellSchedulerOptions {
   readonly farFactor: number
-  /** When leases that an earlier owner may have given have surely ended, by the monotonic clock. */
+  /** The time on the monotonic clock by which all leases of earlier owners have certainly ended. */
   readonly inheritedUntilMs: MonotonicMs
 }
 
 /**
- * Of its estimate a gang is taken to need at least this share: one that can't make its objective any more even so goes behind those that can,
- * since the room that it takes would make the next ones late as well.
+ * A gang is assumed to run for at least this share of its estimate. If it would miss its objective even then, gangs that can
+ * still meet theirs go first, because its placement would make these late as well.
  */
-const LEAST_OF_ESTIMATE = 0.8
-/** A job that has waited for so long is not passed by any longer, in ms: callers of late work want it done all the same. */
-const PASSED_BY_FOR_MS = 60_000
-/** Of the time to its objective, a job waits for this share behind gangs that are late. */
-const PRESSED_SHARE = 0.5
+const MIN_ESTIMATE_SHARE = 0.8
+/** A late job that has waited for this long, in ms, is no longer deferred: callers still want late work done. */
+const MAX_DEFERRAL_MS = 60_000
+/** Once a job has waited for this share of the time to its objective, it may use capacity that is reserved for late gangs. */
+const AT_RISK_WAIT_SHARE = 0.5
 
-/** A waiting gang's tickets are asked for again so long before the service's answer is needed, in ms. */
+/** Tickets of a waiting gang are renewed this many ms before the advice service's answer is needed. */
 const ADVICE_AHEAD_MS = 300
 
 export class CellScheduler {
   public readonly jobs = new Map<string, Job>()
   public readonly hosts = new Map<string, HostState>()
-  private readonly _open = new Set<Job>()
+  private readonly _openJobs = new Set<Job>()
   private readonly _speeds = new HostSpeeds()
-  private readonly _runs: RunController
-  private readonly _reader: HoldReader
+  private readonly _runController: RunController
+  private readonly _holdReader: HoldReader
   private readonly _advice: AdviceSeeker
   private readonly _stalled: StalledRuns
-  private _gangRoom: GangRoom | undefined
+  private _lastReservations: GangRoom | undefined
 
   public constructor (
     private readonly _effects: ICellEffects,
@@ -64,70 +64,71 @@
     private readonly _clock: IClock,
     private readonly _log: ILogger
   ) {
-    const noteChange = (): void => { _effects.requestPass() }
-    this._runs = new RunController({
+    const onChange = (): void => { _effects.requestPass() }
+    this._runController = new RunController({
       save: async (job) => { await _effects.save(job) },
       start: async (host, order) => await _effects.start(host, order),
       stop: async (host, ref) => await _effects.stop(host, ref),
       noteFenced: (hostId) => { _effects.noteFenced(hostId) },
       requestTickets: (step) => { this._requestTickets(step) },
-      noteStarted: (job, waitedMs) => {
+      onStarted: (job, waitedMs) => {
         _effects.count('starts', job.queue.name)
         _effects.noteTime('wait_for_start', waitedMs)
       },
-      noteChange
+      onChange
     }, _chart, _clock, _log)
-    this._reader = new HoldReader(this._runs, this._speeds, {
+    this._holdReader = new HoldReader(this._runController, this._speeds, {
       save: async (job) => { await _effects.save(job) },
       count: (name, kind) => { _effects.count(name, kind) },
       stopUnknown: async (host, ref) => await _effects.stopUnknown(host.entry, ref)
     }, _clock, _log)
     this._advice = new AdviceSeeker(this.hosts, _effects, _clock, _log)
-    this._stalled = new StalledRuns(this._runs, _clock, _log)
+    this._stalled = new StalledRuns(this._runController, _clock, _log)
   }
 
-  /** Takes over a job as an earlier owner left it, with the runs that may exist. */
+  /** Restores a job that an earlier owner recorded, with the runs that may still exist. */
   public restore (job: Job, runs: readonly IRecordedRun[], hostOf: (hostId: string, bornMs: number) => HostState): void {
     job.acceptance = 'stored'
     this.jobs.set(job.spec.jobId, job)
-    if (!job.isFinished) this._open.add(job)
+    if (!job.isFinished) this._openJobs.add(job)
     for (const recorded of runs) {
       const task = job.steps[recorded.step]?.tasks[recorded.index]
       if (task === undefined) continue
       const host = hostOf(recorded.hostId, recorded.bornMs)
       const attempt = new Attempt(task, recorded.run, host, this._chart, this._clock.nowMs(), 'recovering')
       task.attempt = attempt
-      host.take(attempt)
+      host.addAttempt(attempt)
     }
   }
 
   /**
-   * Takes room for a job that is on its way to the store, and records its first runs with it; nothing of it is ordered before both are
-   * stored. One write after the other would take twice as long, with a slow store a good part of the time that an urgent job has.
+   * Makes a job schedulable while it is being stored. Capacity is allocated and the first runs are recorded at the same time, but
+   * no run is ordered before the job and the runs are both stored. Writing one after the other would take twice as long, which is
+   * a large part of an urgent job's time if the store is slow.
    */
   public consider (job: Job): void {
-    this._open.add(job)
+    this._openJobs.add(job)
     this._effects.requestPass()
   }
 
-  /** The job is stored. */
+  /** Makes a stored job schedulable. */
   public admit (job: Job): void {
     job.acceptance = 'stored'
     this.jobs.set(job.spec.jobId, job)
-    this._open.add(job)
+    this._openJobs.add(job)
     this._effects.requestPass()
   }
 
-  /** The job is not stored: the room taken for it is free again. */
+  /** Drops a job that was not stored, and frees the capacity allocated to it. */
   public withdraw (job: Job): void {
     job.phase = 'cancelled'
     this.stopJob(job)
   }
 
-  /** The job's caller wants it no more, and the store has it so. */
+  /** Stops all runs of a job whose cancellation is stored. */
   public stopJob (job: Job): void {
-    this._open.delete(job)
-    this._runs.stopAll(job)
+    this._openJobs.delete(job)
+    this._runController.stopAll(job)
     this._effects.requestPass()
   }
 
@@ -143,43 +144,40 @@
   }
 
   public readHold (host: HostState, answer: IHoldAnswer, sentAtMs: MonotonicMs): void {
-    this._reader.read(host, answer, sentAtMs)
+    this._holdReader.applyAnswer(host, answer, sentAtMs)
     this._effects.requestPass()
   }
 
-  /** A host that has been silent for longer than any lease; gives whether nothing is left to wait for. */
+  /** Gives up the runs of a host that has been silent for longer than any lease. Returns whether the host has no runs left. */
   public noteSilence (host: HostState): boolean {
     if (!host.hasLapsed(this._clock.nowMs())) return false
-    if (host.attempts.size > 0) this._reader.noteLapsed(host)
+    if (host.attempts.size > 0) this._holdReader.loseAllRuns(host)
     return host.attempts.size === 0
   }
 
-  /** How many accepted jobs of the queue have not begun. */
+  /** The number of accepted jobs of the queue that have not started. */
   public waiting (queue: string): number {
     let count = 0
-    for (const job of this._open) if (job.acceptance === 'stored' && job.queue.name === queue && !job.hasStarted) count += 1
+    for (const job of this._openJobs) if (job.acceptance === 'stored' && job.queue.name === queue && !job.hasStarted) count += 1
     return count
   }
 
-  /**
-   * Looks for runs that stand still, and asks again for stops that had no answer and for tickets that weren't to be had; to
-   * be called about twice a second.
-   */
+  /** Stops stalled runs, repeats stops that had no answer, and requests missing tickets again. It has to be called about twice a second. */
   public sweep (): void {
     const preparing = new Set<Step>()
     for (const host of this.hosts.values()) {
       for (const attempt of [...host.attempts]) {
-        if (attempt.phase === 'stopping') this._runs.stop(attempt)
+        if (attempt.phase === 'stopping') this._runController.stop(attempt)
         if (attempt.phase === 'preparing') preparing.add(attempt.task.step)
       }
-      this._stalled.look(host)
+      this._stalled.stopStalled(host)
     }
-    for (const step of preparing) this._runs.orderReady(step)
-    this._advice.pump()
+    for (const step of preparing) this._runController.orderReady(step)
+    this._advice.sendWaiting()
     this._effects.requestPass()
   }
 
-  /** Places what can be placed now, the most urgent first. */
+  /** Places every task that can be placed now, the most urgent first. */
   public pass (): void {
     const nowMs = this._clock.nowMs()
     const gangRoom = new GangRoom(this.hosts.values())
@@ -187,21 +185,21 @@
       nowMs,
       hosts: this.hosts,
       farFactor: this._options.farFactor,
-      tooSlow: this._speeds.tooSlow(this.hosts.values()),
-      headroom: (host, step) => plus(urgentHeadroom(host, step), gangRoom.heldOn(host, isPressed(step, nowMs))),
-      // By the look before this one: urgent work is placed first, before this one knows which gangs have to wait.
-      isHeld: (host) => this._gangRoom?.isHeld(host) === true
+      slowHosts: this._speeds.findSlowHosts(this.hosts.values()),
+      headroom: (host, step) => addResources(urgentHeadroom(host, step), gangRoom.reservedOn(host, isAtRisk(step, nowMs))),
+      // Uses the reservations of the previous pass: urgent work is placed first, before this pass knows which gangs have to wait.
+      hasReservation: (host) => this._lastReservations?.hasReservation(host) === true
     }
     for (const step of this._readySteps(nowMs)) {
-      const advice = this._advice.adviceOf(step)
-      if (step.job.queue.advice !== undefined && !advice.isKnown) continue
+      const advice = this._advice.ensureAdvice(step)
+      if (step.job.queue.advice !== undefined && !advice.hasAnswer) continue
       if (!step.spec.gang) this._placeTasks(step, view)
-      else if (!this._placeGang(step, view)) this._reserve(step, gangRoom, view)
+      else if (!this._placeGang(step, view)) this._reserveForGang(step, gangRoom, view)
     }
-    this._gangRoom = gangRoom
+    this._lastReservations = gangRoom
   }
 
-  /** Values of the moment, for the metrics. */
+  /** Current values for the metrics. */
   public gauges (): Readonly<Record<string, number>> {
     let runs = 0
     let usedCpu = 0
@@ -211,7 +209,7 @@
       usedCpu += host.usedCpu
       cpu += host.entry.cpuMillicores
     }
-    const jobs = { jobs: this.jobs.size, jobs_open: this._open.size, advice_waiting: this._advice.waitingCount }
+    const jobs = { jobs: this.jobs.size, jobs_open: this._openJobs.size, advice_waiting: this._advice.waitingCount }
     return { ...jobs, hosts: this.hosts.size, runs, used_millicores: usedCpu, host_millicores: cpu }
   }
 
@@ -221,9 +219,9 @@
 
   private _readySteps (nowMs: MonotonicMs): readonly Step[] {
     const steps: Step[] = []
-    for (const job of this._open) {
+    for (const job of this._openJobs) {
       if (job.isFinished) {
-        this._open.delete(job)
+        this._openJobs.delete(job)
         continue
       }
       for (const step of job.steps) {
@@ -237,62 +235,65 @@
   private _placeTasks (step: Step, view: IPlacementView): void {
     const idle = step.tasks.filter((task) => task.isIdle && task.notBeforeMs <= view.nowMs)
     if (idle.length === 0) return
-    this._start(step, planTasks(step, idle, view))
+    this._prepareRuns(step, planTasks(step, idle, view))
   }
 
   private _placeGang (step: Step, view: IPlacementView): boolean {
-    // Every run of the last try has to be gone, or one of its tasks could run twice.
+    // All runs of the previous attempt must be gone, or one of the gang's tasks could run twice.
     if (!step.isQuiet || step.tasks.some((task) => task.notBeforeMs > view.nowMs)) return true
     const plan = planGang(step, view)
     if (plan === undefined) return false
-    this._start(step, plan)
+    this._prepareRuns(step, plan)
     return true
   }
 
-  /** Keeps room for a gang that waits, and its tickets good for the moment at which that room will be there. */
-  private _reserve (step: Step, gangRoom: GangRoom, view: IPlacementView): void {
-    const reservation = gangRoom.hold(step, view, isLate(step.job, view.nowMs))
+  /** Reserves capacity for a waiting gang, and renews its tickets so that they are valid when that capacity becomes free. */
+  private _reserveForGang (step: Step, gangRoom: GangRoom, view: IPlacementView): void {
+    const reservation = gangRoom.reserve(step, view, isLate(step.job, view.nowMs))
     const { advice } = step
     if (reservation === undefined || advice === undefined || step.job.queue.advice === undefined) return
     const callMs = expectedAdviceMs(step, reservation.hosts.length) + ADVICE_AHEAD_MS
     if (reservation.waitMs > callMs || advice.isAsking || view.nowMs < advice.retryAtMs) return
-    const expiring = reservation.hosts.filter(({ hostId, bornMs }) => advice.ticket(hostId, bornMs, view.nowMs + callMs) === undefined)
-    if (expiring.length > 0) this._advice.ask(step, expiring.map(({ hostId }) => hostId), () => { this._runs.orderReady(step) })
+    const expiring = reservation.hosts.filter(({ hostId, bornMs }) => advice.findTicket(hostId, bornMs, view.nowMs + callMs) === undefined)
+    if (expiring.length > 0) this._advice.ask(step, expiring.map(({ hostId }) => hostId), () => { this._runController.orderReady(step) })
   }
 
-  private _start (step: Step, plan: readonly IPlacement[]): void {
+  private _prepareRuns (step: Step, plan: readonly IPlacement[]): void {
     if (plan.length === 0) return
-    this._runs.prepare(step, plan)
+    this._runController.prepare(step, plan)
     this._requestTickets(step)
   }
 
-  /** Asks for the tickets that runs of the step wait for; what gets none is placed anew. */
+  /** Requests the tickets that prepared runs of the step lack. Runs that get none are dropped and placed again. */
   private _requestTickets (step: Step): void {
     const { advice } = step
     if (step.job.queue.advice === undefined || advice === undefined || advice.isAsking) return
     const waiting = step.tasks.flatMap(({ attempt }) => attempt?.phase === 'preparing' ? [attempt] : [])
     const isMissing = (attempt: Attempt, atMs: MonotonicMs): boolean =>
-      advice.ticket(attempt.host.hostId, attempt.host.bornMs, atMs) === undefined
+      advice.findTicket(attempt.host.hostId, attempt.host.bornMs, atMs) === undefined
     if (!waiting.some((attempt) => isMissing(attempt, this._clock.nowMs()))) return
-    // A gang needs all its tickets at once: those that would run out during the call are asked for with the others.
+    // A gang needs all its tickets at once, so tickets that would expire during the call are renewed with the missing ones.
     const goodAtMs = this._clock.nowMs() + (step.spec.gang ? expectedAdviceMs(step, waiting.length) : 0)
     const asked = waiting.filter((attempt) => isMissing(attempt, goodAtMs))
     this._advice.ask(step, [...new Set(asked.map((attempt) => attempt.host.hostId))], () => {
-      this._runs.drop(asked.filter((attempt) => isMissing(attempt, this._clock.nowMs())))
-      this._runs.orderReady(step)
+      this._runController.drop(asked.filter((attempt) => isMissing(attempt, this._clock.nowMs())))
+      this._runController.orderReady(step)
     })
   }
 }
 
-/** Whether a job can't make its objective any more, as far as that is known, and hasn't waited for very long. */
+/** Whether a job can no longer meet its objective by its estimates. False for a job that has waited for very long. */
 function isLate (job: Job, nowMs: MonotonicMs): boolean {
-  if (nowMs - job.receivedAtMs > PASSED_BY_FOR_MS) return false
-  let leftMs = 0
-  for (const { spec, isDone } of job.steps) if (spec.gang && !isDone) leftMs += spec.estimateMs * LEAST_OF_ESTIMATE
-  return nowMs + leftMs > job.dueMs
+  if (nowMs - job.receivedAtMs > MAX_DEFERRAL_MS) return false
+  let remainingMs = 0
+  for (const { spec, isDone } of job.steps) if (spec.gang && !isDone) remainingMs += spec.estimateMs * MIN_ESTIMATE_SHARE
+  return nowMs + remainingMs > job.dueMs
 }
 
-/** Whether a job may still make its objective, and has used a good part of the time for that. Gangs wait for each other by their objectives. */
-function isPressed ({ spec, job: { receivedAtMs, dueMs } }: Step, nowMs: MonotonicMs): boolean {
-  return !spec.gang && nowMs < dueMs && nowMs - receivedAtMs > (dueMs - receivedAtMs) * PRESSED_SHARE
+/**
+ * Whether a job can still meet its objective but has used a good part of the time for it. Gangs are excluded: they are ordered
+ * among themselves by their objectives.
+ */
+function isAtRisk ({ spec, job: { receivedAtMs, dueMs } }: Step, nowMs: MonotonicMs): boolean {
+  return !spec.gang && nowMs < dueMs && nowMs - receivedAtMs > (dueMs - receivedAtMs) * AT_RISK_WAIT_SHARE
 }
--- a/src/common/cell/EndRules.ts
+++ b/src/common/cell/EndRules.ts
@@ -1,32 +1,32 @@
 /**
- * What the end of a run means for its task and its job.
+ * Applies the end of a run to its task and its job.
  */
 
 import type { MonotonicMs } from '../Types.js'
 import type { Step, Task } from './Job.js'
 import type { EndKind } from './Types.js'
 
-/** The pause before a long-running task is started again, in ms: one that fails at once must not keep a host busy. */
+/** The pause before a long-running task is started again, in ms: one that fails immediately must not keep a host busy. */
 const RESTART_PAUSE_MS = 300
 
-/** Applies an end to its task; the room it took is released elsewhere. */
+/** Applies an end to its task. The resources of the run are freed elsewhere. */
 export function applyEnd (task: Task, run: number, end: EndKind, checkpoint: string, hostId: string, nowMs: MonotonicMs): void {
   const { step } = task
-  if (checkpoint !== '') noteCheckpoint(task, checkpoint)
+  if (checkpoint !== '') storeCheckpoint(task, checkpoint)
   if (step.spec.longRunning) {
     task.notBeforeMs = nowMs + RESTART_PAUSE_MS
     return
   }
   if (end === 'done') {
-    if (step.spec.gang) step.noteGangDone()
-    else step.noteDone(task)
+    if (step.spec.gang) step.markGangDone()
+    else step.markDone(task)
   }
-  if (end === 'failed') noteFailure(task, run, hostId)
-  finishJob(step, nowMs)
+  if (end === 'failed') recordFailure(task, run, hostId)
+  updateJobPhase(step, nowMs)
 }
 
-/** A checkpoint of one member is good for its whole gang, and all members have to carry the same one. */
-export function noteCheckpoint (task: Task, checkpoint: string): void {
+/** Stores a checkpoint. The checkpoint of one member applies to its whole gang, since all members must resume from the same one. */
+export function storeCheckpoint (task: Task, checkpoint: string): void {
   if (!task.step.spec.gang) {
     task.checkpoint = checkpoint
     return
@@ -34,8 +34,8 @@
   for (const member of task.step.tasks) member.checkpoint = checkpoint
 }
 
-/** A gang's run fails once, however many of its members say so. */
-function noteFailure (task: Task, run: number, hostId: string): void {
+/** Counts a failure. A run of a gang counts once, however many of its members fail. */
+function recordFailure (task: Task, run: number, hostId: string): void {
   const { step } = task
   task.failures += 1
   task.avoid.add(hostId)
@@ -44,7 +44,7 @@
   step.gangFailures += 1
 }
 
-function finishJob (step: Step, nowMs: MonotonicMs): void {
+function updateJobPhase (step: Step, nowMs: MonotonicMs): void {
   const { job } = step
   if (job.isFinished) return
   if (job.isDone) job.phase = 'completed'
--- a/src/common/cell/GangRoom.test.ts
+++ b/src/common/cell/GangRoom.test.ts
@@ -1,5 +1,5 @@
 /**
- * All-at-once steps that wait for their room, among work that would take it.
+ * Gangs that wait for capacity beside other work that would use it.
  */
 
 import test from 'ava'
@@ -8,8 +8,8 @@
 const CALL_MS = 700
 const ADVICE = { baseMs: CALL_MS, perHostMs: 0, validMs: 1500 }
 
-test('a gang starts when its room comes free, not an advice call later', async (t) => {
-  // Asked for only when the room was there, tickets left it idle for the time of a call with each gang that waited.
+test('a gang starts when its capacity becomes free, not an advice call later', async (t) => {
+  // Guards against tickets being requested only when the capacity is free, which leaves it idle for the time of an advice call.
   const cell = new SimulatedCell({ hosts: 4, host: { workMs: () => 3000 }, adviceMs: () => CALL_MS })
   cell.submit([{ count: 28, estimateMs: 3000 }])
   await cell.run(200)
@@ -20,8 +20,9 @@
   t.true(gang.hasStarted)
 })
 
-test('a gang that needs much memory gets it although narrow work with little processor comes without end', async (t) => {
-  // Were processor alone kept for it, tasks that take hardly any would use up the memory, and its caller would wait until they stop coming.
+test('a gang that needs much memory gets it although narrow work that needs little processor keeps arriving', async (t) => {
+  // If only processors were reserved for the gang, tasks that need hardly any would use up the memory, and the gang would wait
+  // until they stop arriving.
   const cell = new SimulatedCell({ hosts: 2 })
   for (let number = 0; number < 14; number += 1) cell.submit([{ cpuMillicores: 100, memoryMb: 9000 }], { priority: 2 })
   await cell.run(300)
@@ -33,8 +34,9 @@
   t.true(gang.hasStarted)
 })
 
-test('a gang that can\'t make its objective any more lets one go first that can', async (t) => {
-  // Both need the whole cell. The first one's objective is past before the cell is free; in the order of their coming both would be late.
+test('a gang that can no longer meet its objective lets one go first that can', async (t) => {
+  // Both gangs need the whole cell. The objective of the first one passes before the cell is free; in the order of arrival both
+  // would be late.
   const cell = new SimulatedCell({ hosts: 2, host: { workMs: () => 2000 } })
   cell.submit([{ count: 14, estimateMs: 2000 }])
   await cell.run(200)
@@ -49,8 +51,8 @@
   t.is(late.shownPhase, 'completed')
 })
 
-test('work that can still be in time does not wait for a gang that can\'t', async (t) => {
-  // The gang's room comes free only after the narrow job's objective: both were late.
+test('work that can still meet its objective does not wait for a gang that can\'t', async (t) => {
+  // The gang's capacity becomes free only after the narrow job's objective; if the narrow job waited, both would be late.
   const workMs = new Map<string, number>()
   const cell = new SimulatedCell({ hosts: 2, host: { workMs: ({ jobId }) => workMs.get(jobId) ?? 2000 } })
   const long = cell.submit([{ count: 2, cpuMillicores: 4500, estimateMs: 4500 }])
@@ -67,8 +69,8 @@
   t.is(late.shownPhase, 'completed')
 })
 
-test('late work is done all the same, however much comes that isn\'t late yet', async (t) => {
-  // The cell is asked for more than it can do for minutes. Passed by without end, the caller of a late gang would never get it.
+test('late work is done eventually, however much work arrives that isn\'t late yet', async (t) => {
+  // The cell is overloaded for minutes. If a late gang could be deferred without limit, it would never start.
   const cell = new SimulatedCell({ hosts: 1, host: { workMs: () => 2000 } })
   const wide = { count: 1, cpuMillicores: 8000, gang: true, estimateMs: 2000 }
   cell.submit([wide])
@@ -81,7 +83,7 @@
 })
 
 test('the members of a gang that is done are not stopped one by one', async (t) => {
-  // They have ended with it. An order for each would come before those of urgent jobs, twenty at a time.
+  // The members have ended with the gang. Needless stop orders, up to twenty at a time, would delay those of urgent jobs.
   const cell = new SimulatedCell({ hosts: 6 })
   const gang = cell.submit([{ count: 6, cpuMillicores: 8000, gang: true }])
   await cell.run(3000)
--- a/src/common/cell/HostSpeeds.test.ts
+++ b/src/common/cell/HostSpeeds.test.ts
@@ -1,5 +1,5 @@
 /**
- * Hosts that differ in speed, turn slow and quick again, under a load of short urgent work.
+ * Hosts that differ in speed, become slow and recover, under a load of short urgent work.
  */
 
 import test from 'ava'
@@ -9,7 +9,7 @@
 
 const EVERY_MS = 100
 
-/** Hands in short jobs at an even pace. */
+/** Submits short jobs at a constant rate. */
 async function load (cell: SimulatedCell, forMs: number, estimateMs = 1000, count = 3): Promise<readonly Job[]> {
   const jobs: Job[] = []
   for (let passedMs = 0; passedMs < forMs; passedMs += EVERY_MS) {
@@ -23,9 +23,9 @@
   return cell.host(host).started.length - before
 }
 
-test('a host that turns slow gets no more work after a moment, and is filled again when it is quick', async (t) => {
-  // One host of six works six times as slowly for some seconds, in good health. Urgent jobs that go there are late, beside hosts
-  // with room.
+test('a host that becomes slow soon gets no more work, and is used again once it has recovered', async (t) => {
+  // One host of six becomes six times slower for some seconds while it answers as usual. Urgent jobs placed there would be late
+  // although other hosts have room.
   const cell = new SimulatedCell({ hosts: 6 })
   await load(cell, 3000, 1000, 4)
   Object.assign(cell.host(0).options, { workMs: () => 6500 })
@@ -37,11 +37,11 @@
   await load(cell, 10_000, 1000, 2)
   cell.submit([{ count: 40 }], { priority: 0 })
   await cell.run(300)
-  t.true(cell.host(0).running.size >= 6, `${cell.host(0).running.size} runs on the quick host`)
+  t.true(cell.host(0).running.size >= 6, `${cell.host(0).running.size} runs on the recovered host`)
 })
 
-test('estimates that are wrong everywhere leave no host out', async (t) => {
-  // Callers say that their tasks take a fifth of what they do. Taken for slow hosts, the whole cell would stand idle.
+test('estimates that are wrong everywhere exclude no host', async (t) => {
+  // Callers estimate a fifth of the real run time. If all hosts counted as slow, the whole cell would stand idle.
   const cell = new SimulatedCell({ hosts: 6 })
   const jobs = await load(cell, 6000, 200)
   await cell.run(1500)
@@ -49,7 +49,7 @@
   t.true(cell.hosts.every((host) => host.started.length > 5))
 })
 
-test('a host on which everything stands still gets no more work within a second and a half', async (t) => {
+test('a host on which every run stalls gets no more work within a second and a half', async (t) => {
   const cell = new SimulatedCell({ hosts: 6 })
   await load(cell, 3000)
   await load(cell, 500, 1000, 4)
@@ -60,7 +60,7 @@
   t.is(startedSince(cell, 0, startedBefore), 0)
 })
 
-test('the quicker of two hosts is taken first', async (t) => {
+test('the faster of two hosts is used first', async (t) => {
   const cell = new SimulatedCell({ hosts: 2 })
   Object.assign(cell.host(0).options, { workMs: () => 1250 })
   Object.assign(cell.host(1).options, { workMs: () => 800 })
--- a/src/common/cell/Job.ts
+++ b/src/common/cell/Job.ts
@@ -1,6 +1,5 @@
 /**
- * A job with its steps and tasks, as its owner holds it. What is owed to whom is decided elsewhere; here stands what is
- * true of the job.
+ * The state of a job with its steps and tasks, as its owner holds it. Scheduling decisions are made elsewhere.
  */
 
 import type { MonotonicMs } from '../Types.js'
@@ -8,20 +7,20 @@
 import type { Attempt } from './Attempt.js'
 import type { IJobSpec, IQueue, IStepSpec, JobPhase } from './Types.js'
 
-/** What a job keeps of its queue: it goes on under these when the queue is dropped. */
+/** The queue settings that a job keeps. They still apply if the queue is removed from the configuration. */
 export type QueueTerms = Pick<IQueue, 'name' | 'service' | 'priority' | 'maxAttempts' | 'stretch' | 'targetMs' | 'advice'>
 
 export class Task {
-  /** The number of the last run that was recorded or given up. */
+  /** The number of the last run that was recorded or dropped. */
   public lastRun = 0
-  /** Runs that ended as failed. */
+  /** The number of runs that ended as failed. */
   public failures = 0
   public isDone = false
   public checkpoint = ''
   public attempt: Attempt | undefined
-  /** Not to be placed before. */
+  /** The task is not placed before this time. */
   public notBeforeMs: MonotonicMs = 0
-  /** Hosts on which a run of it has failed or stood still. */
+  /** Hosts on which a run of the task has failed or stalled. */
   public readonly avoid = new Set<string>()
 
   public constructor (public readonly step: Step, public readonly index: number) {}
@@ -34,9 +33,9 @@
 export class Step {
   public readonly tasks: readonly Task[]
   public doneCount = 0
-  /** Runs of the gang in which a member failed. */
+  /** The number of runs of the gang in which a member failed. */
   public gangFailures = 0
-  /** The last run of the gang that counts in `gangFailures`. */
+  /** The last run of the gang that `gangFailures` counts. */
   public lastFailedRun = 0
   public advice: StepAdvice | undefined
 
@@ -48,45 +47,45 @@
     return this.doneCount >= this.spec.count
   }
 
-  /** Whether all steps that it waits for are done. */
+  /** Whether all steps that it depends on are done. */
   public get isReady (): boolean {
     return this.spec.after.every((earlier) => this.job.steps[earlier]?.isDone === true)
   }
 
-  /** Whether no run of any of its tasks may exist. */
+  /** Whether none of its tasks has a run that may exist. */
   public get isQuiet (): boolean {
     return this.tasks.every((task) => task.attempt === undefined)
   }
 
-  public noteDone (task: Task): void {
+  public markDone (task: Task): void {
     if (task.isDone) return
     task.isDone = true
     this.doneCount += 1
   }
 
-  /** A gang ends together: the end of one member as done stands for all. */
-  public noteGangDone (): void {
-    for (const task of this.tasks) this.noteDone(task)
+  /** Marks the whole gang as done: its members end together, so one member that is done stands for all. */
+  public markGangDone (): void {
+    for (const task of this.tasks) this.markDone(task)
   }
 }
 
-/** Whether the store has the job: on its way there, stored, or given up for certain. */
+/** Whether the store has the job: it is being written, it is stored, or it certainly never will be. */
 export type Acceptance = 'pending' | 'stored' | 'withdrawn'
 
 export class Job {
   public acceptance: Acceptance = 'pending'
   public readonly steps: readonly Step[]
-  /** What is decided, and what of it the store has: callers are told the latter only. */
+  /** The decided phase and the stored one. Callers are told the stored phase only. */
   public phase: JobPhase = 'queued'
   public storedPhase: JobPhase = 'queued'
-  /** A host has begun a task of it. */
+  /** Whether a host has started one of its tasks. */
   public hasStarted = false
   public finishedAtMs: MonotonicMs | undefined
-  /** Until then the job earns in full. */
+  /** The job's objective: it earns its full value if it completes by then. */
   public readonly dueMs: MonotonicMs
   public readonly chainMs: number
 
-  /** @param receivedAtMs when its caller first sent it, by this process's clock */
+  /** @param receivedAtMs when the caller first sent the job, on this process's clock */
   public constructor (public readonly spec: IJobSpec, public queue: QueueTerms, public readonly receivedAtMs: MonotonicMs) {
     this.steps = spec.steps.map((step, number) => new Step(this, number, step))
     this.chainMs = longestChainMs(spec.steps, queue)
@@ -97,7 +96,7 @@
     return this.phase === 'completed' || this.phase === 'failed' || this.phase === 'cancelled'
   }
 
-  /** What a caller may be told. */
+  /** The phase that callers may be told. */
   public get shownPhase (): JobPhase {
     if (this.storedPhase !== 'queued') return this.storedPhase
     return this.hasStarted ? 'running' : 'queued'
@@ -107,13 +106,13 @@
     return this.steps.every((step) => step.isDone)
   }
 
-  /** Work of all tasks as estimated, in core-seconds. */
+  /** The estimated work of all tasks, in core-seconds. */
   public get coreSeconds (): number {
     return this.spec.steps.reduce((sum, step) => sum + step.count * step.cpuMillicores * step.estimateMs / 1e6, 0)
   }
 }
 
-/** The longest chain of steps by estimate, each with its advice. */
+/** The length of the longest chain of dependent steps, by their estimates and the time of their advice calls. */
 function longestChainMs (steps: readonly IStepSpec[], queue: QueueTerms): number {
   const endsMs: number[] = []
   for (const step of steps) {
--- a/src/common/cell/JobRecord.ts
+++ b/src/common/cell/JobRecord.ts
@@ -1,6 +1,6 @@
 /**
- * Jobs as they stand in the store: what was accepted, written once, and how far it is, written with each change. A task
- * that was never placed takes no space.
+ * Encodes and decodes the stored form of a job: the accepted job, written once, and its progress, written with each change. A
+ * task that was never placed takes no space in the record.
  */
 
 import type { EpochMs, MonotonicMs } from '../Types.js'
@@ -8,7 +8,7 @@
 import type { QueueTerms } from './Job.js'
 import type { IJobSpec, IQueue, IStepSpec, JobPhase } from './Types.js'
 
-/** What a caller leaves out of a step. */
+/** Defaults for the fields that a caller leaves out of a step. */
 export const EMPTY_STEP: IStepSpec = {
   count: 0,
   cpuMillicores: 0,
@@ -27,7 +27,7 @@
   fills: false
 }
 
-/** Of a finished job nobody asks for its queue. */
+/** Stands in for the queue of a finished job, which is no longer needed. */
 const NO_QUEUE: QueueTerms = { name: '', service: '', priority: 0, maxAttempts: 0, stretch: 0, targetMs: 0, advice: undefined }
 
 interface IAcceptedRecord {
@@ -36,7 +36,7 @@
   readonly job: IJobSpec
 }
 
-/** [step, index, last run, failures, done, checkpoint, host, born]; the last two only for a run that may exist. */
+/** [step, index, last run, failures, done, checkpoint, host, born]. The last two are present only for a run that may exist. */
 type TaskRow = readonly [number, number, number, number, 0 | 1, string, string?, number?]
 /** [step, gang failures, last failed run] */
 type StepRow = readonly [number, number, number]
@@ -57,9 +57,9 @@
   readonly bornMs: EpochMs
 }
 
-/** The caller's job in short form: fields that are 0, false or empty are left out. */
+/** Encodes the caller's job. Fields that are 0, false or empty are left out. */
 export function encodeJob (spec: IJobSpec): string {
-  return JSON.stringify({ ...spec, steps: spec.steps.map(shortened) })
+  return JSON.stringify({ ...spec, steps: spec.steps.map(withoutDefaults) })
 }
 
 export function decodeJob (record: string): IJobSpec {
@@ -74,17 +74,17 @@
 
 export function encodeAccepted (job: Job, receivedAtWallMs: EpochMs): string {
   const { spec, queue } = job
-  return JSON.stringify({ queue, receivedAtWallMs, job: { ...spec, steps: spec.steps.map(shortened) } })
+  return JSON.stringify({ queue, receivedAtWallMs, job: { ...spec, steps: spec.steps.map(withoutDefaults) } })
 }
 
-/** The job as it was accepted. Throws where the record isn't one of ours. */
+/** Decodes an accepted job. Throws if the record has another format. */
 export function decodeAccepted (record: string, nowMs: MonotonicMs, wallMs: EpochMs): Job {
   const { queue, receivedAtWallMs, job } = JSON.parse(record) as IAcceptedRecord
   const spec = { ...job, steps: job.steps.map((step) => ({ ...EMPTY_STEP, ...step })) }
   return new Job(spec, queue, nowMs - Math.max(0, wallMs - receivedAtWallMs))
 }
 
-/** A finished job of which only its outcome was kept. */
+/** Decodes a finished job of which only the outcome was kept. */
 export function decodeOutcome (jobId: string, record: string, nowMs: MonotonicMs): Job {
   const { phase } = JSON.parse(record) as IProgressRecord
   const job = new Job({ jobId, description: '', steps: [], occurrences: 0 }, NO_QUEUE, nowMs)
@@ -100,7 +100,7 @@
   return JSON.stringify({ phase: job.phase, started: job.hasStarted, steps, tasks } satisfies IProgressRecord)
 }
 
-/** Puts recorded progress into a job that was just decoded, and gives the runs that may exist. */
+/** Applies recorded progress to a job that was just decoded, and returns the runs that may exist. */
 export function applyProgress (job: Job, record: string): readonly IRecordedRun[] {
   const { phase, started, steps, tasks } = JSON.parse(record) as IProgressRecord
   job.phase = phase
@@ -129,11 +129,11 @@
   task.lastRun = lastRun
   task.failures = failures
   task.checkpoint = checkpoint
-  if (done === 1) step.noteDone(task)
+  if (done === 1) step.markDone(task)
   if (hostId === undefined) return []
   return [{ step: stepNumber, index, run: lastRun, hostId, bornMs: bornMs ?? 0 }]
 }
 
-function shortened (step: IStepSpec): Partial<IStepSpec> {
+function withoutDefaults (step: IStepSpec): Partial<IStepSpec> {
   return Object.fromEntries(Object.entries(step).filter(([, value]) => Array.isArray(value) ? value.length > 0 : Boolean(value)))
 }
--- a/src/common/cell/Placement.ts
+++ b/src/common/cell/Placement.ts
@@ -1,15 +1,15 @@
 /**
- * Chooses hosts for the tasks of one step. Pure: it takes what is known of the hosts and gives a plan.
+ * Chooses hosts for the tasks of one step. Pure: it computes a plan from what is known of the hosts.
  *
- * The load this answers: a cell that is four fifths full before any burst, with wide all-at-once steps that fit a few of
- * the hosts, medium batch steps, and short urgent tasks that have to start at once.
+ * It is designed for a cell that is four fifths full before any burst, with wide gangs that fit on a few of the hosts, medium
+ * batch steps, and short urgent tasks that have to start immediately.
  */
 
 import type { MonotonicMs } from '../Types.js'
 import type { HostState } from './HostState.js'
 import type { Step, Task } from './Job.js'
-import { NO_ROOM } from './Room.js'
-import type { IRoom } from './Room.js'
+import { NO_RESOURCES } from './Room.js'
+import type { IResources } from './Room.js'
 import type { StepAdvice } from './StepAdvice.js'
 
 export interface IPlacement {
@@ -20,51 +20,51 @@
 export interface IPlacementView {
   readonly nowMs: MonotonicMs
   readonly hosts: ReadonlyMap<string, HostState>
-  /** How many times as long a task runs away from its data. */
+  /** How many times as long a task takes on a host away from its data. */
   readonly farFactor: number
-  /** Hosts that get no work for the moment. */
-  readonly tooSlow: ReadonlySet<HostState>
-  /** Room on a host that the step has to leave free. */
-  headroom (host: HostState, step: Step): IRoom
-  /** Whether room on the host is kept for gangs that wait. */
-  isHeld (host: HostState): boolean
+  /** Hosts that get no work at present because they are too slow. */
+  readonly slowHosts: ReadonlySet<HostState>
+  /** The resources on a host that the step has to leave free. */
+  headroom (host: HostState, step: Step): IResources
+  /** Whether resources on the host are reserved for waiting gangs. */
+  hasReservation (host: HostState): boolean
 }
 
 /**
- * The share of a host that only the most urgent work may fill. Urgent tasks are small and short: with this left
- * free on each host they start at once in a full cell, where they would otherwise wait for a batch task to end.
+ * The share of a host's processors that only the most urgent work may use. Urgent tasks are small and short: with this share free
+ * on each host they start immediately in a full cell, where they would otherwise wait for a batch task to end.
  */
 const URGENT_SHARE = 0.1
 const URGENT_PRIORITY = 0
 
 /**
- * What a step has to leave free for urgent work. A gang is exempt, and a task that needs nearly a whole host: with the
- * room left aside they might never fit, however empty the cell.
+ * The resources that a step has to leave free for urgent work. Gangs are exempt, and the headroom shrinks for a task that needs
+ * nearly a whole host: otherwise they might never fit, however empty the cell is.
  */
-export function urgentHeadroom (host: HostState, step: Step): IRoom {
-  if (step.job.queue.priority === URGENT_PRIORITY || step.spec.gang) return NO_ROOM
+export function urgentHeadroom (host: HostState, step: Step): IResources {
+  if (step.job.queue.priority === URGENT_PRIORITY || step.spec.gang) return NO_RESOURCES
   const { cpuMillicores } = host.entry
-  return { ...NO_ROOM, cpuMillicores: Math.max(0, Math.min(cpuMillicores * URGENT_SHARE, cpuMillicores - step.spec.cpuMillicores)) }
+  return { ...NO_RESOURCES, cpuMillicores: Math.max(0, Math.min(cpuMillicores * URGENT_SHARE, cpuMillicores - step.spec.cpuMillicores)) }
 }
 
-/** The hosts on which a task of the step may start, as far as room is left aside. */
+/** The hosts on which a task of the step may start, regardless of free resources. */
 export function eligibleHosts (step: Step, view: IPlacementView): readonly HostState[] {
   const { spec, job, advice } = step
   const eligible: HostState[] = []
-  for (const host of candidates(step, view)) {
+  for (const host of candidateHosts(step, view)) {
     if (host.entry.service !== job.queue.service || !host.isPlaceable(view.nowMs) || !host.couldHold(spec)) continue
-    if (view.tooSlow.has(host)) continue
+    if (view.slowHosts.has(host)) continue
     if (job.queue.advice === undefined || isAdvised(advice, host, view.nowMs)) eligible.push(host)
   }
   return eligible
 }
 
-function candidates (step: Step, view: IPlacementView): Iterable<HostState> {
+function candidateHosts (step: Step, view: IPlacementView): Iterable<HostState> {
   if (step.job.queue.advice === undefined) return view.hosts.values()
   return allowedHosts(step, view.hosts)
 }
 
-/** The hosts that the advice service allows for the step, placeable or not. */
+/** The hosts that the advice service allows for the step, whether or not they can take work now. */
 export function allowedHosts (step: Step, hosts: ReadonlyMap<string, HostState>): readonly HostState[] {
   const allowed: HostState[] = []
   for (const hostId of step.advice?.allowedHostIds() ?? []) {
@@ -74,27 +74,27 @@
   return allowed
 }
 
-/** While tickets are being asked for, or just after that has failed, only those at hand count: calls would pile up. */
+/** While tickets are being requested, or shortly after a request has failed, only hosts with a valid ticket count: otherwise calls would pile up. */
 function isAdvised (advice: StepAdvice | undefined, host: HostState, nowMs: MonotonicMs): boolean {
   if (advice?.allows(host.hostId) !== true) return false
-  return (!advice.isAsking && nowMs >= advice.retryAtMs) || advice.ticket(host.hostId, host.bornMs, nowMs) !== undefined
+  return (!advice.isAsking && nowMs >= advice.retryAtMs) || advice.findTicket(host.hostId, host.bornMs, nowMs) !== undefined
 }
 
-/** A place for each idle task that finds one, best tasks and hosts first. */
+/** Plans a host for each idle task for which there is one. */
 export function planTasks (step: Step, tasks: readonly Task[], view: IPlacementView): readonly IPlacement[] {
   const hosts = eligibleHosts(step, view)
-  const room = new RoomView(step, hosts, view)
+  const capacity = new RemainingCapacity(step, hosts, view)
   const plan: IPlacement[] = []
   for (const task of tasks) {
-    const host = room.best(task)
+    const host = capacity.bestHost(task)
     if (host === undefined) continue
-    room.use(host)
+    capacity.addTask(host)
     plan.push({ task, host })
   }
   return plan
 }
 
-/** Places for all tasks of a gang, or nothing. */
+/** Plans hosts for all tasks of a gang, or returns undefined. */
 export function planGang (step: Step, view: IPlacementView): readonly IPlacement[] | undefined {
   const hosts = eligibleHosts(step, view)
   if (!step.spec.sameRack) return planTogether(step, hosts, view)
@@ -103,51 +103,51 @@
     const plan = planTogether(step, hosts.filter((host) => host.entry.rack === rack), view)
     if (plan !== undefined) return plan
   }
-  // Slower over several racks, but better than waiting for one that may never have the room.
+  // Spreading the gang over several racks is slower, but better than waiting for one rack that may never have the capacity.
   return planTogether(step, hosts, view)
 }
 
 function planTogether (step: Step, hosts: readonly HostState[], view: IPlacementView): readonly IPlacement[] | undefined {
-  const room = new RoomView(step, hosts, view)
-  if (room.total() < step.tasks.length) return undefined
+  const capacity = new RemainingCapacity(step, hosts, view)
+  if (capacity.totalPlaces() < step.tasks.length) return undefined
   const plan: IPlacement[] = []
   for (const task of step.tasks) {
-    const host = room.best(task)
+    const host = capacity.bestHost(task)
     if (host === undefined) return undefined
-    room.use(host)
+    capacity.addTask(host)
     plan.push({ task, host })
   }
   return plan
 }
 
-/** What is left on each host while a plan grows. */
-class RoomView {
-  private readonly _left = new Map<HostState, number>()
+/** The number of tasks of a step that still fit on each host while a plan is made. */
+class RemainingCapacity {
+  private readonly _placesLeft = new Map<HostState, number>()
   private readonly _used = new Map<HostState, number>()
 
   public constructor (private readonly _step: Step, hosts: readonly HostState[], private readonly _view: IPlacementView) {
-    for (const host of hosts) this._left.set(host, this._roomOn(host))
+    for (const host of hosts) this._placesLeft.set(host, this._countPlaces(host))
   }
 
-  public total (): number {
+  public totalPlaces (): number {
     let sum = 0
-    for (const left of this._left.values()) sum += left
+    for (const left of this._placesLeft.values()) sum += left
     return sum
   }
 
-  public use (host: HostState): void {
-    this._left.set(host, (this._left.get(host) ?? 0) - 1)
+  public addTask (host: HostState): void {
+    this._placesLeft.set(host, (this._placesLeft.get(host) ?? 0) - 1)
     this._used.set(host, (this._used.get(host) ?? 0) + 1)
   }
 
   /**
-   * The host on which the task ends soonest; among like ones that with a ticket at hand, then the fullest, so that room
-   * for wide tasks stays together.
+   * The host on which the task would end soonest. Among equal hosts, one with a valid ticket is preferred, then the fullest one,
+   * so that free capacity for wide tasks stays together.
    */
-  public best (task: Task): HostState | undefined {
+  public bestHost (task: Task): HostState | undefined {
     let best: HostState | undefined
     let bestScore = Infinity
-    for (const [host, left] of this._left) {
+    for (const [host, left] of this._placesLeft) {
       if (left < 1) continue
       const score = this._score(task, host)
       if (score < bestScore) {
@@ -158,31 +158,31 @@
     return best
   }
 
-  private _roomOn (host: HostState): number {
+  private _countPlaces (host: HostState): number {
     const { spec } = this._step
-    const room = host.roomFor(spec, this._view.headroom(host, this._step))
-    if (spec.maxPerHost === 0) return room
-    return Math.max(0, Math.min(room, spec.maxPerHost - runsOfStepOn(this._step, host)))
+    const places = host.placesFor(spec, this._view.headroom(host, this._step))
+    if (spec.maxPerHost === 0) return places
+    return Math.max(0, Math.min(places, spec.maxPerHost - runsOfStepOn(this._step, host)))
   }
 
   private _score (task: Task, host: HostState): number {
     const { spec, job, advice } = this._step
     const isFar = spec.preferredRack !== '' && spec.preferredRack !== host.entry.rack
     const workMs = spec.estimateMs / host.speed * (isFar ? this._view.farFactor : 1)
-    const adviceMs = job.queue.advice === undefined || advice?.ticket(host.hostId, host.bornMs, this._view.nowMs) !== undefined
+    const adviceMs = job.queue.advice === undefined || advice?.findTicket(host.hostId, host.bornMs, this._view.nowMs) !== undefined
       ? 0
       : job.queue.advice.baseMs
     const avoidMs = task.avoid.has(host.hostId) ? spec.estimateMs * 10 + 10_000 : 0
-    const heldMs = !spec.gang && this._view.isHeld(host) ? spec.estimateMs * HELD_WEIGHT : 0
+    const reservedMs = !spec.gang && this._view.hasReservation(host) ? spec.estimateMs * RESERVED_WEIGHT : 0
     const used = (this._used.get(host) ?? 0) * spec.cpuMillicores
     const freeShare = (host.freeCpu - used) / Math.max(1, host.entry.cpuMillicores)
-    return workMs + adviceMs + avoidMs + heldMs + freeShare * spec.estimateMs * TIGHT_FIT_WEIGHT
+    return workMs + adviceMs + avoidMs + reservedMs + freeShare * spec.estimateMs * TIGHT_FIT_WEIGHT
   }
 }
 
-/** How much a host is avoided where gangs wait for room, as a share of the task's own time: urgent work has a choice of many. */
-const HELD_WEIGHT = 0.3
-/** How much a fuller host is preferred, as a share of the task's own time: enough to decide between like hosts only. */
+/** The penalty of a host with resources reserved for gangs, as a share of the task's estimate: urgent tasks are small and have many other hosts. */
+const RESERVED_WEIGHT = 0.3
+/** The weight of a host's free share, as a share of the task's estimate: just enough to decide between otherwise equal hosts. */
 const TIGHT_FIT_WEIGHT = 0.1
 
 function runsOfStepOn (step: Step, host: HostState): number {
--- a/src/common/cell/StepAdvice.ts
+++ b/src/common/cell/StepAdvice.ts
@@ -1,46 +1,45 @@
 /**
- * What the advice service said of one step: the hosts that may run it, which never changes, and tickets for them, which
- * age.
+ * The advice service's answers for one step: the hosts that may run it, which never change, and tickets for them, which expire.
  */
 
 import type { EpochMs, MonotonicMs } from '../Types.js'
 import type { ITicket } from './Types.js'
 
-/** A ticket is not used in the last part of its time: the order still has to be recorded and to reach the host, in ms. */
+/** A ticket is not used in the last part of its validity, in ms: the order still has to be recorded and to reach the host. */
 const TICKET_MARGIN_MS = 200
 
-interface IHeldTicket {
+interface ICachedTicket {
   readonly ticket: string
   readonly validUntilMs: MonotonicMs
-  /** A ticket is good for one life of its host. */
+  /** A ticket is valid for one incarnation of its host. */
   readonly bornMs: EpochMs
 }
 
 export class StepAdvice {
-  private readonly _tickets = new Map<string, IHeldTicket>()
+  private readonly _tickets = new Map<string, ICachedTicket>()
   private readonly _asked = new Set<string>()
-  /** Calls on their way. */
+  /** The number of calls in flight. */
   private _calls = 0
   public askedAtMs: MonotonicMs = -Infinity
-  /** After a call that failed, none is made before. */
+  /** No call is made before this time, set after a failed call. */
   public retryAtMs: MonotonicMs = -Infinity
-  /** A first answer has come. */
-  public isKnown = false
-  /** When to look next whether the step needs more hosts than it may use so far. */
-  public lookAgainAtMs: MonotonicMs = -Infinity
+  /** Whether a first answer has arrived. */
+  public hasAnswer = false
+  /** When to check again whether the step needs more hosts than it may use so far. */
+  public nextCheckAtMs: MonotonicMs = -Infinity
 
   public get isAsking (): boolean {
     return this._calls > 0
   }
 
-  /** So many calls are made at once. */
-  public noteAsked (calls: number, nowMs: MonotonicMs): void {
+  /** Records that calls were made. */
+  public recordCalls (calls: number, nowMs: MonotonicMs): void {
     this._calls += calls
     this.askedAtMs = nowMs
   }
 
-  /** One of them has come back, with an answer or without. */
-  public noteSettled (): void {
+  /** Records that a call has ended, with an answer or without. */
+  public recordCallEnd (): void {
     this._calls -= 1
   }
 
@@ -52,32 +51,36 @@
     return this._asked.has(hostId)
   }
 
-  /** The hosts that may run the step, of those asked about so far. */
+  /** The hosts that may run the step, among those named to the service so far. */
   public allowedHostIds (): Iterable<string> {
     return this._tickets.keys()
   }
 
-  /** A ticket that is good for an order given at this time. */
-  public ticket (hostId: string, bornMs: EpochMs, atMs: MonotonicMs): string | undefined {
-    const held = this._tickets.get(hostId)
-    if (held === undefined || held.bornMs !== bornMs || held.validUntilMs - TICKET_MARGIN_MS < atMs) return undefined
-    return held.ticket
+  /** A ticket that is valid for an order sent at the given time. */
+  public findTicket (hostId: string, bornMs: EpochMs, atMs: MonotonicMs): string | undefined {
+    const cached = this._tickets.get(hostId)
+    if (cached === undefined || cached.bornMs !== bornMs || cached.validUntilMs - TICKET_MARGIN_MS < atMs) return undefined
+    return cached.ticket
   }
 
-  /** @param validUntilMs counted from the earliest moment at which the service can have answered */
-  public note (
+  /**
+   * Records an answer.
+   *
+   * @param validUntilMs counted from the earliest time at which the service can have answered
+   */
+  public recordAnswer (
     askedHostIds: readonly string[], allowed: readonly ITicket[], validUntilMs: MonotonicMs, bornOf: (hostId: string) => EpochMs | undefined
   ): void {
     for (const hostId of askedHostIds) this._asked.add(hostId)
     for (const { hostId, ticket } of allowed) {
       this._tickets.set(hostId, { ticket, validUntilMs, bornMs: bornOf(hostId) ?? 0 })
     }
-    this.isKnown = true
+    this.hasAnswer = true
   }
 
-  /** The host refused the ticket: ask anew before the next order. */
-  public expire (hostId: string): void {
-    const held = this._tickets.get(hostId)
-    if (held !== undefined) this._tickets.set(hostId, { ...held, validUntilMs: 0 })
+  /** Expires a ticket that its host refused, so that a new one is requested before the next order. */
+  public expireTicket (hostId: string): void {
+    const cached = this._tickets.get(hostId)
+    if (cached !== undefined) this._tickets.set(hostId, { ...cached, validUntilMs: 0 })
   }
 }
--- a/src/common/cell/Successor.test.ts
+++ b/src/common/cell/Successor.test.ts
@@ -1,5 +1,5 @@
 /**
- * The choice of a successor.
+ * Which process is chosen as the successor of an owner that stops.
  */
 
 import test from 'ava'
@@ -14,8 +14,8 @@
 })
 
 test('in a cell whose machines are stopped in turn, the owner changes at most twice', (t) => {
-  // Each machine is stopped once, from the first to the last, and starts anew. With any other successor, callers would wait for a
-  // takeover with every machine.
+  // Each machine is stopped once, from the first to the last, and restarted. With any other choice of successor, callers would
+  // wait for a takeover with every machine.
   const incarnations = new Map(Array.from({ length: 9 }, (_, number) => [`m${number}`, number]))
   let owner = 'm4'
   let changes = 0
--- a/src/common/cell/Types.ts
+++ b/src/common/cell/Types.ts
@@ -1,47 +1,47 @@
 /**
- * The vocabulary of a cell: jobs of steps, the queues that take them, the hosts that run them, and what the outside
- * systems answer. An adapter translates the platform's messages into these types and back.
+ * Types of a cell: jobs made of steps, the queues that accept them, the hosts that run them, and the answers of the outside
+ * systems. Adapters translate the platform's messages to and from these types.
  */
 
 import type { EpochMs } from '../Types.js'
 
-/** One step of a job: `count` like tasks. */
+/** One step of a job: `count` identical tasks. */
 export interface IStepSpec {
   readonly count: number
   readonly cpuMillicores: number
   readonly memoryMb: number
   readonly accelerators: number
-  /** The caller's guess of how long a task runs; may be far off. */
+  /** The caller's estimate of how long a task runs. It may be far off. */
   readonly estimateMs: number
-  /** Steps of the same job, by number, all of whose tasks have to be done first. */
+  /** Numbers of the steps of the same job whose tasks must all be done before this step starts. */
   readonly after: readonly number[]
   readonly checkpointing: boolean
-  /** All tasks run at the same time or not at all. */
+  /** All tasks run at the same time, or none does. */
   readonly gang: boolean
   readonly sameRack: boolean
-  /** Only hosts with this label; empty for any. */
+  /** The step runs only on hosts with this label; empty allows every host. */
   readonly requiredLabel: string
-  /** The rack that holds the data; empty for none. */
+  /** The rack that holds the step's data; empty if there is none. */
   readonly preferredRack: string
-  /** Tasks of the step on one host; 0 for no bound. */
+  /** The highest number of tasks of the step on one host; 0 means no limit. */
   readonly maxPerHost: number
   readonly speculative: boolean
-  /** Restarted however its tasks end, until the job is cancelled. */
+  /** Its tasks are restarted however they end, until the job is cancelled. */
   readonly longRunning: boolean
-  /** Takes what others leave of a host, and nothing of its capacity. */
+  /** Runs on processor time that other tasks leave unused, and reserves no processor capacity. */
   readonly fills: boolean
 }
 
 export interface IJobSpec {
   readonly jobId: string
-  /** The caller's description of the work, passed on to the hosts as it came. */
+  /** The caller's description of the work, passed on to the hosts unchanged. */
   readonly description: string
   readonly steps: readonly IStepSpec[]
-  /** How often the steps run on a schedule; 0 for a job that runs once, at once. */
+  /** How often the steps run on a schedule; 0 for a job that runs once and immediately. */
   readonly occurrences: number
 }
 
-/** How long the advice service takes for one step, and how long a ticket of it is good. */
+/** How long the advice service takes for one step, and how long its tickets are valid. */
 export interface IAdviceTerms {
   readonly baseMs: number
   readonly perHostMs: number
@@ -55,11 +55,11 @@
   readonly pathPrefix: string
   /** The pool of hosts that runs its tasks. */
   readonly service: string
-  /** 0 goes first. */
+  /** 0 is the most urgent. */
   readonly priority: number
-  /** Failed runs of a task after which its job has failed. */
+  /** The number of failed runs of a task after which its job fails. */
   readonly maxAttempts: number
-  /** The objective is this many times the longest chain of work, and `targetMs` more. */
+  /** The objective is the length of the longest chain of steps times `stretch`, plus `targetMs`. */
   readonly stretch: number
   readonly targetMs: number
   readonly advice: IAdviceTerms | undefined
@@ -72,13 +72,13 @@
   readonly maxHeaderBytes: number
 }
 
-/** A host as its entry in the store tells. */
+/** A host as its entry in the store describes it. */
 export interface IHostEntry {
   readonly hostId: string
-  /** Unix time of its start: another value is another incarnation under the same id. */
+  /** Unix time of its start. A different value under the same id is a different incarnation. */
   readonly bornMs: EpochMs
   readonly service: string
-  /** `ip:port`. */
+  /** The address, as `ip:port`. */
   readonly address: string
   readonly failureDomain: string
   readonly draining: boolean
@@ -90,19 +90,19 @@
   readonly rack: string
 }
 
-/** Names one run of one task. */
+/** Identifies one run of one task. */
 export interface IRunRef {
   readonly jobId: string
   readonly step: number
   readonly index: number
-  /** Rises with each start of the task. */
+  /** Increases with each start of the task. */
   readonly run: number
 }
 
 export interface IStartOrder {
   readonly ref: IRunRef
   readonly description: string
-  /** On the host's clock: after it the order is refused, and until it what runs there is held. */
+  /** On the host's clock. The host refuses the order after this time, and holds the lease of the run until then. */
   readonly deadlineMs: number
   readonly fence: number
   readonly checkpoint: string
@@ -110,8 +110,8 @@
 }
 
 /**
- * What became of a start. `refused` and `unsent`: it did not run and never will. `unanswered`: it may run now or later,
- * until its deadline. `fenced`: a newer owner gives orders to that host.
+ * The result of a start order. `refused` and `unsent`: the run did not start and never will. `unanswered`: it may start now or
+ * later, until its deadline. `fenced`: a newer owner gives orders to that host.
  */
 export type StartOutcome =
   | { readonly kind: 'started', readonly clockMs: number }
@@ -129,11 +129,11 @@
   readonly percent: number
 }
 
-/** How a run ended. `lapsed`: its lease ran out; `broken`: another member of its gang ended; `alone`: members were missing. */
+/** How a run ended. `lapsed`: its lease ran out; `broken`: another member of its gang ended; `alone`: other members of its gang were missing. */
 export type EndKind = 'done' | 'failed' | 'stopped' | 'lapsed' | 'broken' | 'alone'
 
 export interface IEndRow {
-  /** Rises by one with each end in this incarnation. */
+  /** Increases by one with each end in this incarnation of the host. */
   readonly sequence: number
   readonly ref: IRunRef
   readonly end: EndKind
@@ -142,20 +142,20 @@
 
 export interface IHoldOrder {
   readonly fence: number
-  /** Ends up to this sequence may be forgotten by the host. */
+  /** The host may forget the ends up to and including this sequence. */
   readonly acknowledgedSequence: number
-  /** On the host's clock; absent leaves it as it is. */
+  /** On the host's clock; if absent, the host keeps its present deadline. */
   readonly deadlineMs: number | undefined
   readonly waitMs: number
 }
 
-/** All that a host runs, and the ends that it hasn't been told to forget. */
+/** Everything that a host runs, and the ends that it hasn't been told to forget. */
 export interface IHoldAnswer {
   readonly clockMs: number
   readonly bornMs: EpochMs
   readonly running: readonly IRunRow[]
   readonly ended: readonly IEndRow[]
-  /** Whether there may be ends that this answer had no room for. */
+  /** Whether there may be further ends that didn't fit into this answer. */
   readonly moreEnds: boolean
 }
 
@@ -165,12 +165,12 @@
   | { readonly kind: 'otherIncarnation' }
   | { readonly kind: 'failed', readonly reason: string }
 
-/** Orders to the hosts. */
+/** Sends orders to the hosts. */
 export interface IHostOrders {
   start (host: IHostEntry, order: IStartOrder): Promise<StartOutcome>
   stop (host: IHostEntry, ref: IRunRef, fence: number): Promise<StopOutcome>
   hold (host: IHostEntry, order: IHoldOrder, signal: AbortSignal): Promise<HoldOutcome>
-  /** Closes what is open to a host that is gone. */
+  /** Closes the connections to a host that is gone. */
   forget (hostId: string): void
 }
 
@@ -190,7 +190,7 @@
   readonly hostIds: readonly string[]
 }
 
-/** The service that knows which hosts may run a step. It handles one call at a time for each machine that calls. */
+/** The advice service, which knows the hosts that may run a step. It handles one call at a time for each calling machine. */
 export interface IAdviser {
   ask (ask: IAdviceAsk, timeoutMs: number): Promise<AdviceOutcome>
 }
@@ -209,24 +209,24 @@
 export interface IMetadataEvent {
   readonly key: string
   readonly revision: number
-  /** Absent: the key was deleted. */
+  /** Absent if the key was deleted. */
   readonly item: IMetadataItem | undefined
 }
 
 export type WatchOutcome =
   | { readonly kind: 'events', readonly events: readonly IMetadataEvent[], readonly revision: number }
-  /** What lies between can't be told any more: read everything again. */
+  /** The store no longer has the events in between: read everything again. */
   | { readonly kind: 'historyGone' }
   | { readonly kind: 'failed', readonly reason: string }
 
 export interface ITransaction {
-  /** Keys and the revision each must have; 0: it must not exist. */
+  /** Keys with the revision that each must have; 0 means that the key must not exist. */
   readonly expect: readonly { readonly key: string, readonly revision: number }[]
   readonly puts: readonly { readonly key: string, readonly value: string, readonly leaseId?: number | undefined }[]
   readonly removes: readonly string[]
 }
 
-/** `refused`: nothing was done. `unanswered`: it may have been done, or may be done later while its conditions hold. */
+/** `refused`: nothing was written. `unanswered`: it may have been written, or may still be while its conditions hold. */
 export type CommitOutcome =
   | { readonly kind: 'committed', readonly revision: number }
   | { readonly kind: 'conflict', readonly items: readonly IMetadataItem[] }
@@ -238,11 +238,11 @@
 
 export type RenewOutcome = 'renewed' | 'gone' | 'failed'
 
-/** The platform's store of small records. */
+/** The platform's metadata store, which holds small records. */
 export interface IMetadataStore {
   readonly callCount: number
   get (key: string): Promise<ReadOutcome<IMetadataItem | undefined>>
-  /** All items under a prefix, page by page. */
+  /** Reads all items under a prefix, page by page. */
   range (prefix: string): Promise<ReadOutcome<IMetadataRange>>
   watch (prefix: string, afterRevision: number, waitMs: number, signal: AbortSignal): Promise<WatchOutcome>
   commit (transaction: ITransaction, timeoutMs: number): Promise<CommitOutcome>
@@ -252,12 +252,12 @@
   dispose (): void
 }
 
-/** What callers are told of a job. */
+/** The phase of a job that callers see. */
 export type JobPhase = 'queued' | 'running' | 'completed' | 'failed' | 'cancelled'
 
 /**
- * What became of a submission. `accepted` is said once it is stored; `refused` only when it is not and never will be.
- * `inDoubt`: nobody can say yet.
+ * The result of a submission. `accepted` is returned only once the submission is stored, `refused` only if it isn't and never
+ * will be. `inDoubt`: nobody can tell yet.
  */
 export type SubmitOutcome =
   | { readonly kind: 'accepted' }
@@ -265,17 +265,17 @@
     readonly kind: 'refused'
     readonly reason: string
     readonly retryAfterMs: number
-    /** The owner can't reach the store; another process may. */
+    /** The owner can't reach the store; another process may be able to. */
     readonly isStoreAway?: boolean
   }
   | { readonly kind: 'noQueue' }
   | { readonly kind: 'invalid', readonly reason: string }
   | { readonly kind: 'inDoubt', readonly reason: string }
 
-/** What a process that a submission was sent to as the owner makes of it. */
+/** The answer of a process that received a submission as the supposed owner. */
 export type OwnerAnswer =
   | SubmitOutcome
-  /** It isn't the owner any more. It has not stored the submission, and what it sent to the store can't be done any more. */
+  /** The process is no longer the owner. It has not stored the submission, and none of its requests to the store can still take effect. */
   | { readonly kind: 'notOwner', readonly reason: string }
 
 export type StateOutcome =
@@ -288,13 +288,13 @@
 export interface ISubmission {
   readonly jobId: string
   readonly queue: string
-  /** The job as `encodeJob` gives it. */
+  /** The job as encoded by `encodeJob`. */
   readonly record: string
-  /** How long the caller has waited already, in milliseconds. */
+  /** How long the caller has already waited, in milliseconds. */
   readonly ageMs: number
 }
 
-/** The one process that owns the cell's hosts and jobs, seen from a gateway. */
+/** The one process that owns the cell's hosts and jobs, as a gateway sees it. */
 export interface ICellOwnerPort {
   submit (submission: ISubmission): Promise<OwnerAnswer>
   state (jobId: string): Promise<StateOutcome>
