--- a/src/common/state/ChartTable.test.ts
+++ b/src/common/state/ChartTable.test.ts
@@ -1,5 +1,5 @@
 /**
- * The compiled table against xstate, for every state and event of every chart.
+ * Compares the compiled table with xstate, for every state and event of every chart.
  */
 
 import { readFileSync, readdirSync } from 'node:fs'
--- a/src/common/state/ChartTable.ts
+++ b/src/common/state/ChartTable.ts
@@ -1,6 +1,6 @@
 /**
- * A flat state chart compiled to a transition table. An xstate transition costs about 18 µs and the library some
- * memory; the daemons take the same JSON file through this table, and a differential test holds the two equal.
+ * A flat state chart compiled to a transition table. An xstate transition takes about 18 µs, and the library uses some memory;
+ * the daemons interpret the same JSON files with this table, and a differential test verifies that both agree.
  */
 
 import { err, ok } from 'neverthrow'
@@ -37,17 +37,17 @@
     return [...this._rows.keys()]
   }
 
-  /** All events that some state takes. */
+  /** All events for which some state has a transition. */
   public get events (): readonly string[] {
     return [...new Set([...this._rows.values()].flatMap((row) => [...row.keys()]))]
   }
 
-  /** The state after `event`; an event that `state` doesn't take changes nothing. */
+  /** The state after `event`; the same state if it has no transition for `event`. */
   public next (state: string, event: string): string {
     return this._rows.get(state)?.get(event) ?? state
   }
 
-  /** Whether `state` takes `event`. */
+  /** Whether `state` has a transition for `event`. */
   public takes (state: string, event: string): boolean {
     return this._rows.get(state)?.has(event) ?? false
   }
--- a/src/common/state/ClaimTable.ts
+++ b/src/common/state/ClaimTable.ts
@@ -1,36 +1,34 @@
 /**
- * Who may dispatch which non-idempotent request: the decisions on claims, blocks and releases over the entries of an
- * id shard's log.
+ * Decides which attempt may dispatch a non-idempotent request, from the claims, blocks and releases in an id shard's log.
  *
- * An attempt is dead once it has been blocked or released, and never claims again. A claim is held by at most one
- * attempt; only its holder's release frees it for another one.
+ * An attempt is dead once it has been blocked or released, and can never claim again. A claim is held by at most one attempt, and
+ * only a release by its holder frees it for another one.
  */
 
 import type { EpochMs } from '../Types.js'
 import type { SliceEntry } from './Types.js'
 
 /**
- * The oldest attempt that may still claim, in milliseconds. Claims and blocks are kept for ten minutes; an attempt
- * that waited longer than that could claim an id whose first claim has been forgotten, and the work would run twice.
- * So a request that isn't idempotent gets no deadline beyond this, and repeats of its id are known for the rest of
- * the ten minutes.
+ * The maximum age of an attempt that may still claim, in milliseconds. Claims and blocks are kept for ten minutes: an older
+ * attempt could claim an id whose first claim has been forgotten, and the work would run twice. So a request that isn't
+ * idempotent gets no deadline beyond this, and repeats of its id are recognised for the rest of the ten minutes.
  */
 export const MAX_ATTEMPT_AGE_MS = 300_000
 
 export type ClaimDecision =
-  /** Append a claim entry; granted once it is durable. */
+  /** Append a claim entry; the claim is granted once it is durable. */
   | { readonly decision: 'append' }
   | { readonly decision: 'granted' }
   | { readonly decision: 'duplicate', readonly attemptId: string, readonly holder: string }
   | { readonly decision: 'blocked' }
 
 export type BlockDecision =
-  /** Append a block entry; blocked once it is durable. */
+  /** Append a block entry; the attempt is blocked once it is durable. */
   | { readonly decision: 'append' }
   | { readonly decision: 'blocked' }
   | { readonly decision: 'claimed', readonly holder: string }
 
-/** Takes one applied entry back. */
+/** Undoes one applied entry. */
 export type Undo = () => void
 
 interface IClaim {
@@ -44,7 +42,7 @@
   newestAt: EpochMs
 }
 
-interface IAge {
+interface IAgedKey {
   readonly key: string
   readonly at: EpochMs
 }
@@ -54,23 +52,23 @@
 export class ClaimTable {
   private readonly _records = new Map<string, IClaimRecord>()
   /** Keys in the order of their entries, for expiry without a scan. */
-  private _ages: IAge[] = []
+  private _keysByAge: IAgedKey[] = []
 
   public get size (): number {
     return this._records.size
   }
 
-  /** Takes an entry in; gives how to take it back if its commit proves without effect. Undo in reverse order. */
+  /** Applies an entry, and returns the function that undoes it, for a commit that had no effect. Undo entries in reverse order. */
   public apply (entry: SliceEntry): Undo {
     if (entry.type === 'job' || entry.type === 'jobEnd') return NO_UNDO
-    const record = this._record(entry.key)
+    const record = this._recordOf(entry.key)
     record.newestAt = Math.max(record.newestAt, entry.at)
-    this._ages.push({ key: entry.key, at: entry.at })
+    this._keysByAge.push({ key: entry.key, at: entry.at })
     if (entry.type === 'claim') return this._applyClaim(record, entry)
-    return this._applyDeath(record, entry.attemptId)
+    return this._markDead(record, entry.attemptId)
   }
 
-  /** Whether this attempt may have the claim. The same attempt and holder may ask again, since answers get lost. */
+  /** Decides whether this attempt may have the claim. The same attempt and holder may ask again, since answers can be lost. */
   public decideClaim (key: string, attemptId: string, holder: string): ClaimDecision {
     const record = this._records.get(key)
     if (record?.dead.has(attemptId) === true) return { decision: 'blocked' }
@@ -79,7 +77,7 @@
     return { decision: 'duplicate', attemptId: record.claim.attemptId, holder: record.claim.holder }
   }
 
-  /** Whether this attempt can be kept from ever running. */
+  /** Decides whether this attempt can be prevented from ever running. */
   public decideBlock (key: string, attemptId: string): BlockDecision {
     const record = this._records.get(key)
     if (record?.dead.has(attemptId) === true) return { decision: 'blocked' }
@@ -87,7 +85,7 @@
     return { decision: 'append' }
   }
 
-  /** Whether `holder` holds the claim with this attempt, so that it can release it. */
+  /** Whether `holder` holds the claim with this attempt and so can release it. */
   public holds (key: string, attemptId: string, holder: string): boolean {
     const claim = this._records.get(key)?.claim
     return claim?.attemptId === attemptId && claim.holder === holder
@@ -95,15 +93,15 @@
 
   /** Forgets keys whose newest entry is older than `before`. */
   public expire (before: EpochMs): void {
-    const kept = this._ages.findIndex((age) => age.at >= before)
-    const expired = this._ages.splice(0, kept < 0 ? this._ages.length : kept)
+    const kept = this._keysByAge.findIndex((age) => age.at >= before)
+    const expired = this._keysByAge.splice(0, kept < 0 ? this._keysByAge.length : kept)
     for (const { key } of expired) {
       const record = this._records.get(key)
       if (record !== undefined && record.newestAt < before) this._records.delete(key)
     }
   }
 
-  private _record (key: string): IClaimRecord {
+  private _recordOf (key: string): IClaimRecord {
     const found = this._records.get(key)
     if (found !== undefined) return found
     const record: IClaimRecord = { claim: undefined, dead: new Set(), newestAt: 0 }
@@ -117,7 +115,7 @@
     return () => { record.claim = before }
   }
 
-  private _applyDeath (record: IClaimRecord, attemptId: string): Undo {
+  private _markDead (record: IClaimRecord, attemptId: string): Undo {
     const before = record.claim
     const wasDead = record.dead.has(attemptId)
     record.dead.add(attemptId)
--- a/src/common/state/GangReservation.test.ts
+++ b/src/common/state/GangReservation.test.ts
@@ -1,5 +1,5 @@
 /**
- * All-at-once jobs over several schedulers. The specification explores the races; here are the ways that matter most.
+ * All-at-once jobs over several schedulers, in the most important cases. The specification explores the races.
  */
 
 import test from 'ava'
@@ -16,7 +16,7 @@
   return new GangReservation(7, tasks('a', 'b'), ['s2', 's1', 's3'], DEFAULT_GANG_OPTIONS)
 }
 
-test('places are asked for in the order of process ids, for what is missing only, and then all start', (t) => {
+test('places are requested in the order of process ids, for the missing tasks only, and then all start', (t) => {
   const gang = setUp()
   t.like(gang.commands(0)[0], { type: 'reserve', scheduler: 's1', tryNumber: 7 })
   t.deepEqual(gang.commands(0), [])
@@ -32,8 +32,8 @@
   t.is(gang.phase, 'running')
 })
 
-// There is room for half of the job. Holding that half, two such jobs would wait for each other for ever.
-test('what can\'t be completed is given back, and nothing more is sent', (t) => {
+// There is room for half of the job. If such jobs kept that half, two of them would wait for each other for ever.
+test('a try that can\'t be completed is given back, and nothing more is sent', (t) => {
   const gang = setUp()
   for (const scheduler of ['s1', 's2', 's3']) {
     gang.commands(0)
@@ -45,8 +45,8 @@
   t.deepEqual(gang.commands(10_000), [])
 })
 
-// A scheduler dies between the starts. Left as it is, half of the job would run and wait for the other half.
-test('a start that fails takes back those that succeeded', (t) => {
+// A scheduler dies between the starts. Without the cancellation, half of the job would run and wait for the other half.
+test('a failed start cancels those that succeeded', (t) => {
   const gang = setUp()
   gang.commands(0)
   gang.reserved('s1', ['a'])
@@ -61,7 +61,7 @@
 })
 
 // The last reservation took so long that the first is about to expire: a start would find it gone.
-test('nothing starts when a reservation is about to run out', (t) => {
+test('nothing starts when a reservation is about to expire', (t) => {
   const gang = setUp()
   gang.commands(0)
   gang.reserved('s1', ['a'])
--- a/src/common/state/GangReservation.ts
+++ b/src/common/state/GangReservation.ts
@@ -1,13 +1,13 @@
 /**
- * One try to start all tasks of a job or none, over several schedulers: reserve every place first, then start.
+ * One try to start all tasks of a job or none, over several schedulers: it reserves every place first and starts the tasks after
+ * that.
  *
- * Two jobs that hold half of the places each must not wait for each other for ever. So places are asked for in one
- * order (of process id) by everyone, nobody waits while holding any, and what can't be completed is given back at
- * once; the owner of the job makes the next try after a random pause that grows. The reservations expire by themselves,
- * for the case that this process dies.
+ * Two jobs that hold half of the places each must not wait for each other for ever. So places are requested in the same order (of
+ * process id) by every owner, no one waits while holding any, and a try that can't be completed is given back immediately; the
+ * owner of the job makes the next try after a random pause that grows. Reservations expire in case this process dies.
  *
- * A scheduler may die between the first start and the last. Then the tasks that did start are cancelled: a half
- * start is seen for as long as that takes, and never stays.
+ * A scheduler may die between the first start and the last. Then the tasks that did start are cancelled: a job can be partly
+ * started only for as long as that takes.
  */
 
 import type { IPlaceTask } from '../protocol/Types.js'
@@ -16,7 +16,7 @@
 export interface IGangOptions {
   /** How long a reservation lasts at its scheduler, in milliseconds. */
   readonly expiresMs: number
-  /** What must be left of every reservation before the first start is sent, in milliseconds. */
+  /** The time that every reservation must have left before the first start is sent, in milliseconds. */
   readonly startMarginMs: number
 }
 
@@ -30,17 +30,17 @@
 interface IGangCommandBase {
   readonly scheduler: string
   /**
-   * Rises with each try of this job. A start of an earlier try that arrives late would otherwise start the places of
-   * this one before all of them are reserved; a scheduler acts only on the try that it holds places for.
+   * Increases with each try of this job. Otherwise a late start of an earlier try would start the places of this one before all
+   * of them are reserved. A scheduler accepts commands only for the try that it holds places for.
    */
   readonly tryNumber: number
 }
 
-/** What to send next. One command a scheduler is under way at a time. */
+/** A command to send. Each scheduler has at most one command in flight. */
 export type GangCommand =
   | IGangCommandBase & { readonly type: 'reserve', readonly tasks: readonly IPlaceTask[], readonly expiresMs: number }
   | IGangCommandBase & { readonly type: 'start' }
-  /** Drop the reservation there and cancel its tasks, whether started or not; refuse this try from now on. */
+  /** Drop the reservation and cancel its tasks, whether started or not. The scheduler refuses this try from then on. */
   | IGangCommandBase & { readonly type: 'giveBack', readonly taskIds: readonly string[] }
 
 type PartState = 'asking' | 'reserved' | 'starting' | 'started' | 'giving'
@@ -49,7 +49,7 @@
   readonly scheduler: string
   readonly state: PartState
   readonly taskIds: readonly string[]
-  /** When the reservation was asked for: it lasts at least until `sentAtMs + expiresMs`. */
+  /** When the reservation was requested: it lasts at least until `sentAtMs + expiresMs`. */
   readonly sentAtMs: MonotonicMs
 }
 
@@ -67,7 +67,7 @@
 
   /**
    * @param tryNumber higher than that of every earlier try of the job, also under earlier owners
-   * @param schedulers those that may have room; asked in the order of their ids
+   * @param schedulers the schedulers that may have room, asked in the order of their ids
    */
   public constructor (
     public readonly tryNumber: number,
@@ -94,7 +94,7 @@
     }
   }
 
-  /** The commands to send now; call it after each report. */
+  /** Returns the commands to send now. To be called after each report. */
   public commands (nowMs: MonotonicMs): readonly GangCommand[] {
     if (this._phase === 'reserving') return this._reserveNext(nowMs)
     if (this._phase === 'starting') return this._startAll()
@@ -102,13 +102,13 @@
     return []
   }
 
-  /** The answer to `reserve`. */
+  /** Reports the answer to `reserve`. */
   public reserved (scheduler: string, taskIds: readonly string[]): void {
     const part = this._parts.get(scheduler)
     if (part?.state === 'asking') this._parts.set(scheduler, { ...part, state: 'reserved', taskIds })
   }
 
-  /** The answer to `start`; false also when none came, since it may have started. */
+  /** Reports the answer to `start`. `started` is false also if there was no answer, since the tasks may have started. */
   public started (scheduler: string, started: boolean): void {
     const part = this._parts.get(scheduler)
     if (part?.state !== 'starting') return
@@ -117,21 +117,21 @@
       return
     }
     this._parts.set(scheduler, { ...part, state: 'started' })
-    if (this._all('started')) this._phase = 'running'
+    if (this._areAll('started')) this._phase = 'running'
   }
 
-  /** No answer to `reserve`, or a task ended or its scheduler was lost before all had started: give everything back. */
+  /** Reports that `reserve` had no answer, or that a task ended or its scheduler was lost before all had started: everything is given back. */
   public failed (): void {
     if (this._phase === 'reserving' || this._phase === 'starting') this._phase = 'givingBack'
   }
 
-  /** The answer to `giveBack`, or the scheduler is gone and whoever has its hosts now has stopped the tasks. */
+  /** Reports the answer to `giveBack`, or that the scheduler is gone and the new owner of its hosts has stopped the tasks. */
   public gaveBack (scheduler: string): void {
     this._parts.delete(scheduler)
     if (this._phase === 'givingBack' && this._parts.size === 0) this._phase = 'givenBack'
   }
 
-  /** `giveBack` was not answered: `commands` gives it again. */
+  /** Reports that `giveBack` was not answered: `commands` returns it again. */
   public giveBackFailed (scheduler: string): void {
     const part = this._parts.get(scheduler)
     if (part?.state === 'giving') this._parts.set(scheduler, { ...part, state: 'reserved' })
@@ -141,7 +141,7 @@
     if ([...this._parts.values()].some((part) => part.state === 'asking')) return []
     const placed = new Set([...this._parts.values()].flatMap((part) => part.taskIds))
     const tasks = this._tasks.filter(({ task }) => !placed.has(task.taskId))
-    if (tasks.length === 0) return this._reservedAll(nowMs)
+    if (tasks.length === 0) return this._startAllInTime(nowMs)
     const scheduler = this._schedulers[this._nextScheduler]
     if (scheduler === undefined) return this._giveUp()
     this._nextScheduler += 1
@@ -149,8 +149,8 @@
     return [{ type: 'reserve', scheduler, tryNumber: this.tryNumber, tasks, expiresMs: this._options.expiresMs }]
   }
 
-  /** Starts only if no reservation can run out meanwhile: one that did would leave the rest started without it. */
-  private _reservedAll (nowMs: MonotonicMs): readonly GangCommand[] {
+  /** Starts only if no reservation can expire meanwhile: otherwise the remaining tasks would run without those of the expired one. */
+  private _startAllInTime (nowMs: MonotonicMs): readonly GangCommand[] {
     const endsMs = Math.min(...[...this._parts.values()].map((part) => part.sentAtMs)) + this._options.expiresMs
     if (nowMs + this._options.startMarginMs > endsMs) return this._giveUp()
     this._dropEmptyParts()
@@ -170,7 +170,7 @@
   }
 
   private _startAll (): readonly GangCommand[] {
-    return this._move('reserved', 'starting').map(({ scheduler }) => ({ type: 'start', scheduler, tryNumber: this.tryNumber }))
+    return this._changeState('reserved', 'starting').map(({ scheduler }) => ({ type: 'start', scheduler, tryNumber: this.tryNumber }))
   }
 
   private _giveBackAll (): readonly GangCommand[] {
@@ -181,13 +181,13 @@
     return parts.map(({ scheduler }) => ({ type: 'giveBack', scheduler, tryNumber: this.tryNumber, taskIds }))
   }
 
-  private _move (from: PartState, to: PartState): readonly IPart[] {
+  private _changeState (from: PartState, to: PartState): readonly IPart[] {
     const moved = [...this._parts.values()].filter((part) => part.state === from)
     for (const part of moved) this._parts.set(part.scheduler, { ...part, state: to })
     return moved
   }
 
-  private _all (state: PartState): boolean {
+  private _areAll (state: PartState): boolean {
     return [...this._parts.values()].every((part) => part.state === state)
   }
 }
--- a/src/common/state/HeldTries.test.ts
+++ b/src/common/state/HeldTries.test.ts
@@ -1,12 +1,12 @@
 /**
- * Which commands of a try a scheduler acts on. The specification `gang` explores the races.
+ * Which commands of a try a scheduler accepts. The specification `gang` explores the races.
  */
 
 import test from 'ava'
 import { HeldTries } from './HeldTries.js'
 
-test('a late command of an earlier try is not acted on', (t) => {
-  // A start of the first try arrives when places are held for the second. It would start a part of the job alone.
+test('a late command of an earlier try is refused', (t) => {
+  // A start of the first try arrives when places are held for the second one. It would start a part of the job alone.
   const tries = new HeldTries()
   t.true(tries.begin('job', 4))
   t.true(tries.mayStart('job', 4))
@@ -18,8 +18,8 @@
   t.false(tries.mayStart('other', 5))
 })
 
-test('what was given back can be neither reserved nor started any more', (t) => {
-  // The giving back overtakes the reservation that it is for, and the places would be held for nobody.
+test('a try that was given back can be neither reserved nor started', (t) => {
+  // The command that gives a try back overtakes its reservation, which would then hold places that no one uses.
   const tries = new HeldTries()
   t.true(tries.giveBack('job', 4))
   t.false(tries.begin('job', 4))
--- a/src/common/state/HeldTries.ts
+++ b/src/common/state/HeldTries.ts
@@ -1,15 +1,14 @@
 /**
- * A scheduler's side of all-at-once reservations: which try of each job it acts on.
+ * A scheduler's side of all-at-once reservations: which try of each job it accepts commands for.
  *
- * What can go wrong: a start or a reservation of an earlier try of a job arrives late, or one of a try whose places
- * have been given back. It would start a part of the job alone: one would see it hold its places and get nowhere. So
- * every command bears the number of its try, numbers only rise, and no command of an earlier try or of one that was
- * given back is acted on.
+ * It guards against this failure: a start or a reservation of an earlier try, or of a try whose places have been given back,
+ * arrives late. It would start a part of the job alone, which would occupy its places without progress. So every command carries
+ * the number of its try, the numbers only increase, and commands of an earlier try or of one that was given back are refused.
  */
 
 export interface IHeldTry {
   readonly tryNumber: number
-  /** Not given back. */
+  /** False once the try was given back. */
   readonly isOpen: boolean
 }
 
@@ -22,7 +21,7 @@
     this._byJob = new Map(Object.entries(from ?? {}))
   }
 
-  /** Begins a try, and with it ends the earlier ones; false when this one or a later one has been here. */
+  /** Begins a try, which ends all earlier ones. Returns false if this try or a later one has been seen. */
   public begin (jobId: string, tryNumber: number): boolean {
     const latest = this._byJob.get(jobId)
     if (latest !== undefined && tryNumber <= latest.tryNumber) return false
@@ -30,13 +29,13 @@
     return true
   }
 
-  /** Whether a try's places may be started. */
+  /** Whether the tasks of a try may be started. */
   public mayStart (jobId: string, tryNumber: number): boolean {
     const latest = this._byJob.get(jobId)
     return latest?.tryNumber === tryNumber && latest.isOpen
   }
 
-  /** Ends a try and all before it, whether or not they have been here; false when a later one has. */
+  /** Ends a try and all earlier ones, whether or not they have been seen. Returns false if a later one has. */
   public giveBack (jobId: string, tryNumber: number): boolean {
     const latest = this._byJob.get(jobId)
     if (latest !== undefined && tryNumber < latest.tryNumber) return false
@@ -44,12 +43,12 @@
     return true
   }
 
-  /** Forgets a job; no sooner than the longest time that a command can be on its way. */
+  /** Forgets a job. To be called no sooner than after the longest time for which a command can be in flight. */
   public forget (jobId: string): void {
     this._byJob.delete(jobId)
   }
 
-  /** For the specification, which explores states. */
+  /** The state as plain data, for the specification, which explores states. */
   public snapshot (): IHeldTriesSnapshot {
     return Object.fromEntries(this._byJob)
   }
--- a/src/common/state/HostClock.ts
+++ b/src/common/state/HostClock.ts
@@ -1,15 +1,15 @@
 /**
- * What a process knows of a host's clock from its answers. Leases are counted on the host's clock, and no one else's
- * can be trusted to run at its rate, so the estimate is a range that widens until the next answer.
+ * Estimates a host's clock from its answers. Leases are counted on the host's clock, and no other clock is guaranteed to run at
+ * the same rate, so the estimate is a range that widens until the next answer.
  */
 
 import type { MonotonicMs } from '../Types.js'
 
-/** The most that two clocks may run apart, as a share of the time that passes: 0.01 is 10 ms in a second. */
+/** The maximum drift between two clocks, as a share of the elapsed time: 0.01 is 10 ms in a second. */
 export const DEFAULT_MAX_DRIFT = 0.01
 
 export interface IHostClockSnapshot {
-  /** The host's clock in milliseconds, and the local times between which it was read. */
+  /** The host's clock in milliseconds, and the local times between which the host read it. */
   readonly hostMs: number
   readonly sentAtMs: MonotonicMs
   readonly receivedAtMs: MonotonicMs
@@ -22,7 +22,7 @@
     this._last = from
   }
 
-  /** Takes in an answer that held the host's clock. An answer that was overtaken by a later one changes nothing. */
+  /** Processes an answer that contains the host's clock. An answer to a request sent before that of the latest answer is ignored. */
   public observe (answer: IHostClockSnapshot): void {
     if (this._last === undefined || answer.sentAtMs >= this._last.sentAtMs) this._last = answer
   }
@@ -31,7 +31,7 @@
     return this._last
   }
 
-  /** The host's clock shows at least this at a time after the last answer; undefined before the first one. */
+  /** The lowest value that the host's clock can show at a time after the last answer; undefined before the first one. */
   public earliestMs (nowMs: MonotonicMs): number | undefined {
     if (this._last === undefined) return undefined
     const passedMs = nowMs - this._last.receivedAtMs
@@ -39,7 +39,7 @@
     return this._last.hostMs + passedMs * (1 - this._maxDrift)
   }
 
-  /** The host's clock shows at most this; undefined before the first answer. */
+  /** The highest value that the host's clock can show; undefined before the first answer. */
   public latestMs (nowMs: MonotonicMs): number | undefined {
     if (this._last === undefined) return undefined
     const passedMs = Math.max(0, nowMs - this._last.sentAtMs)
--- a/src/common/state/JobFence.test.ts
+++ b/src/common/state/JobFence.test.ts
@@ -1,5 +1,5 @@
 /**
- * Which commands of owners of a job a scheduler follows. The specification `jobs` explores the races.
+ * Which commands of job owners a scheduler accepts. The specification `jobs` explores the races.
  */
 
 import test from 'ava'
@@ -11,7 +11,7 @@
   return fence.decide({ idShard: 'ids/00', epoch, owner, task: 'job t0', attempt })
 }
 
-test('an owner that was replaced while it slept is refused, and the news goes to its successor', (t) => {
+test('an owner that was replaced while it was paused is refused, and reports go to its successor', (t) => {
   const fence = new JobFence()
   t.is(decide(fence, 1), 'start')
   t.true(fence.accept('ids/00', 2, 'j2'))
@@ -22,9 +22,9 @@
   t.is(fence.ownerOf('ids/01'), undefined)
 })
 
-test('an attempt that was held starts no second time, whether or not it has ended', (t) => {
-  // The answer to a command gets lost, its owner sends it again, and the attempt ends meanwhile. Started once more, it
-  // would run beside the next attempt.
+test('an attempt that was held is not started again, whether or not it has ended', (t) => {
+  // The answer to a command is lost, its owner sends it again, and the attempt ends meanwhile. If it were started again, it would
+  // run beside the next attempt.
   const fence = new JobFence()
   fence.noteHeld('job t0', 2)
   t.is(decide(fence, 2), 'known')
@@ -36,7 +36,7 @@
   t.is(decide(fence, 3), 'start')
 })
 
-test('an attempt for which there was no room may be asked for again', (t) => {
+test('an attempt for which there was no room may be requested again', (t) => {
   const fence = new JobFence()
   t.is(decide(fence, 1), 'start')
   t.is(decide(fence, 1), 'start')
--- a/src/common/state/JobFence.ts
+++ b/src/common/state/JobFence.ts
@@ -1,21 +1,21 @@
 /**
- * Decides at a scheduler whether an attempt of a job's task may start there, and who owns the job.
+ * Decides at a scheduler whether an attempt of a job's task may start there, and records who owns the job.
  *
- * What can go wrong: the owner of an id shard is paused, another takes its jobs over and starts a task's next
- * attempt, and the first wakes and asks another scheduler for an attempt of its own. Hosts can't refuse it, since
- * both schedulers own the hosts that they place on; one would see the task in two places. So each scheduler keeps the
- * highest epoch that it has heard of for each id shard and refuses commands of an older one. A new owner raises the
- * epoch at every scheduler and hears there what runs, before it places anything anew. From then on it gets all news:
- * told to the old owner, the end of a task would be lost, and its job would never end.
+ * It guards against this failure: the owner of an id shard is paused, another process takes over its jobs and starts a task's
+ * next attempt, and then the first owner wakes and requests an attempt of its own from another scheduler. The hosts can't refuse
+ * it, since both schedulers own the hosts that they place on, and the task would run in two places. So each scheduler stores the
+ * highest known epoch of each id shard and refuses commands with an older one. A new owner announces its epoch to every scheduler
+ * and learns what runs there before it places anything. From then on it receives all reports: if the end of a task were reported
+ * to the old owner, it would be lost, and the job would never end.
  *
- * Nor may a repeated command start an attempt that has run already: its answer was lost, its owner asked again, the
- * attempt ended meanwhile and the next one runs elsewhere. So the highest attempt of each task is kept as well.
+ * A repeated command must not start an attempt that has already run either: its answer may have been lost, so that its owner sent
+ * it again, while the attempt ended and the next one runs elsewhere. So the highest attempt of each task is stored as well.
  */
 
-/** One attempt of one task, on behalf of an owner of its job. */
+/** A command for one attempt of one task, sent by an owner of its job. */
 export interface IJobCommand {
   readonly idShard: string
-  /** The epoch under which the owner holds the id shard. */
+  /** The epoch in which the sender owns the id shard. */
   readonly epoch: number
   readonly owner: string
   /** Unique among the tasks of all jobs. */
@@ -24,30 +24,30 @@
 }
 
 /**
- * `start`: a new attempt. `known`: the same attempt is or was held here; tell what became of it. `late`: a later one is
- * or was held here. `busy`: an earlier one is still held here. `superseded`: a newer owner of the job is known.
+ * `start`: a new attempt, to be started. `known`: the same attempt is or was held here, so report its state. `late`: a later
+ * attempt is or was held here. `busy`: an earlier attempt is still held here. `superseded`: a newer owner of the job is known.
  */
 export type AttemptDecision = 'start' | 'known' | 'late' | 'busy' | 'superseded'
 
-interface IHeardOwner {
+interface IKnownOwner {
   readonly epoch: number
   readonly owner: string
 }
 
 interface IKnownTask {
   readonly highest: number
-  /** The attempt that is held now: queued, starting or running. */
+  /** The attempt that is held now, which means queued, starting or running. */
   readonly held?: number
 }
 
 export interface IJobFenceSnapshot {
-  /** The newest owner by id shard. */
-  readonly owners: Readonly<Record<string, IHeardOwner>>
+  /** The newest known owner of each id shard. */
+  readonly owners: Readonly<Record<string, IKnownOwner>>
   readonly tasks: Readonly<Record<string, IKnownTask>>
 }
 
 export class JobFence {
-  private readonly _owners: Map<string, IHeardOwner>
+  private readonly _owners: Map<string, IKnownOwner>
   private readonly _tasks: Map<string, IKnownTask>
 
   public constructor (from?: IJobFenceSnapshot) {
@@ -55,19 +55,19 @@
     this._tasks = new Map(Object.entries(from?.tasks ?? {}))
   }
 
-  /** Takes in the epoch of an owner; false when a newer one is known. */
+  /** Records the epoch of an owner. Returns false if a newer one is known. */
   public accept (idShard: string, epoch: number, owner: string): boolean {
     if (epoch < (this._owners.get(idShard)?.epoch ?? 0)) return false
     this._owners.set(idShard, { epoch, owner })
     return true
   }
 
-  /** The process that is to hear of the tasks of the id shard's jobs. */
+  /** The process to which the tasks of the id shard's jobs are reported. */
   public ownerOf (idShard: string): string | undefined {
     return this._owners.get(idShard)?.owner
   }
 
-  /** Whether to start an attempt. It counts as known only once it is noted as held, since there may be no room for it. */
+  /** Decides whether to start an attempt. The attempt counts as known only once `noteHeld` is called, since there may be no room for it. */
   public decide (command: IJobCommand): AttemptDecision {
     if (!this.accept(command.idShard, command.epoch, command.owner)) return 'superseded'
     const known = this._tasks.get(command.task)
@@ -77,12 +77,12 @@
     return known.held === undefined ? 'start' : 'busy'
   }
 
-  /** An attempt is held here from now on. */
+  /** Records that an attempt is held here from now on. */
   public noteHeld (task: string, attempt: number): void {
     this._tasks.set(task, { highest: this._highest(task, attempt), held: attempt })
   }
 
-  /** An attempt is held here no longer, or has ended without having been. */
+  /** Records that an attempt is no longer held here, or has ended without having been held. */
   public noteGone (task: string, attempt: number): void {
     const held = this._tasks.get(task)?.held
     const highest = this._highest(task, attempt)
@@ -94,12 +94,12 @@
     return this._tasks.get(task)?.held
   }
 
-  /** Forgets a task that isn't held; no sooner than the longest time that a command can be on its way. */
+  /** Forgets a task that isn't held. To be called no sooner than after the longest time for which a command can be in flight. */
   public forget (task: string): void {
     if (this.heldAttempt(task) === undefined) this._tasks.delete(task)
   }
 
-  /** For the specification, which explores states. */
+  /** The state as plain data, for the specification, which explores states. */
   public snapshot (): IJobFenceSnapshot {
     return { owners: Object.fromEntries(this._owners), tasks: Object.fromEntries(this._tasks) }
   }
--- a/src/common/state/JobTable.ts
+++ b/src/common/state/JobTable.ts
@@ -1,6 +1,5 @@
 /**
- * The accepted jobs of an id shard, over the entries of its log. A job stays until it has ended and its end has
- * passed the retention.
+ * The accepted jobs of an id shard, built from the entries of its log. An ended job is kept for the retention time.
  */
 
 import type { IJobSpec, JobState } from '../protocol/Types.js'
@@ -20,7 +19,7 @@
 export class JobTable {
   private readonly _jobs = new Map<string, IJobRecord>()
 
-  /** Takes an entry in; gives how to take it back. Undo in reverse order. */
+  /** Applies an entry, and returns the function that undoes it. Undo entries in reverse order. */
   public apply (entry: SliceEntry): Undo {
     if (entry.type === 'job') return this._applyJob(entry.job)
     if (entry.type === 'jobEnd') return this._applyEnd(entry.jobId, entry.state, entry.at)
@@ -31,7 +30,7 @@
     return this._jobs.get(jobId)
   }
 
-  /** The jobs that have been accepted and haven't ended: what a new owner has to carry on. */
+  /** The accepted jobs that haven't ended, which a new owner has to continue. */
   public live (): readonly IJobSpec[] {
     return [...this._jobs.values()].filter((record) => record.end === undefined).map((record) => record.job)
   }
@@ -43,7 +42,7 @@
     }
   }
 
-  /** A job that is already known stays as it is: compaction appends live jobs anew, and a repeat changes nothing. */
+  /** A known job is left unchanged: compaction appends live jobs again, and a repeated entry changes nothing. */
   private _applyJob (job: IJobSpec): Undo {
     if (this._jobs.has(job.jobId)) return NO_UNDO
     this._jobs.set(job.jobId, { job })
--- a/src/common/state/ShardAssignment.test.ts
+++ b/src/common/state/ShardAssignment.test.ts
@@ -1,5 +1,5 @@
 /**
- * Proposals of owners, over random shards, members and present owners.
+ * Proposals of owners for random shards, members and present owners.
  */
 
 import test from 'ava'
@@ -18,7 +18,7 @@
   })
 }
 
-test('each group is spread evenly, in its region where a member is there, and a stable state proposes itself', (t) => {
+test('each group is spread evenly, in its region if a member is there, and a proposal that is carried out is proposed again', (t) => {
   const members = fc.uniqueArray(fc.record({ processId: fc.stringMatching(/^p[0-9]{1,2}$/), region: fc.constantFrom(...REGIONS) }), {
     selector: (member) => member.processId, minLength: 1, maxLength: 12
   })
@@ -38,8 +38,8 @@
   }), { seed: 7, numRuns: 200 })
 })
 
-// One of eight schedulers dies. Were all shards dealt out anew, each queue in the cell would move for one death.
-test('a death moves the shards of the dead one only', (t) => {
+// One of eight schedulers dies. If all shards were reassigned, every queue in the cell would move because of one death.
+test('the death of a member moves its shards only', (t) => {
   const shards = shardsOf(48)
   const candidates = Array.from({ length: 8 }, (_, index) => ({ processId: `p${index}`, region: 'r1' }))
   const before = assignment.propose(shards, candidates, () => undefined)
--- a/src/common/state/ShardAssignment.ts
+++ b/src/common/state/ShardAssignment.ts
@@ -1,10 +1,10 @@
 /**
- * Who should own which shard: a proposal that every scheduler computes alike from the same members and records, so
- * that no leader is needed. Only the compare-and-swap decides; a proposal from a stale view costs a lost write.
+ * Proposes an owner for each shard. Every scheduler computes the same proposal from the same members and records, so no leader is
+ * needed. Ownership is decided by compare-and-swap only; a proposal from an outdated view costs one failed write.
  *
- * Shards with hosts go to schedulers of their region, because each dispatch to another region costs 20 ms and is
- * paid by volume. Within a group (kind and region) the shards are spread evenly: plain rendezvous hashing of few
- * shards over few members leaves some with twice their share, and their hosts would wait for a busy scheduler.
+ * Shards with hosts are assigned to schedulers of their region, since each dispatch to another region takes 20 ms and is charged
+ * by volume. Within a group (kind and region) the shards are spread evenly: plain rendezvous hashing of few shards over few
+ * members gives some members twice their share, and their hosts would wait for a busy scheduler.
  */
 
 import xxhash from 'xxhash-wasm'
@@ -16,10 +16,10 @@
   readonly region: string
 }
 
-/** A 32-bit hash of a text. */
+/** A 32-bit hash function of a text. */
 export type Hash32 = (text: string) => number
 
-/** xxHash of 32 bits, compiled once at start. */
+/** Creates a 32-bit xxHash function. To be called once, at start, since it compiles WebAssembly. */
 export async function createHash32 (): Promise<Hash32> {
   const { h32 } = await xxhash()
   return (text) => h32(text)
@@ -31,18 +31,18 @@
   readonly shards: IShardSpec[]
 }
 
-interface IRoom {
+interface IQuota {
   readonly processId: string
-  /** Shards that it may still get. */
-  room: number
+  /** The number of shards that it may still get. */
+  remaining: number
 }
 
 export class ShardAssignment {
   public constructor (private readonly _hash: Hash32) {}
 
   /**
-   * Proposes an owner for each shard. Present owners keep theirs up to an even share, so that a change of members
-   * moves no more than it must. No candidates: an empty proposal.
+   * Proposes an owner for each shard. Present owners keep their shards up to an even share, so that a change of members moves as
+   * few shards as possible. The proposal is empty if there are no candidates.
    *
    * @param ownerOf the present owner, if it is alive
    */
@@ -69,26 +69,26 @@
   private _proposeGroup (
     group: IGroup, candidates: readonly ICandidate[], ownerOf: (shardId: string) => string | undefined, proposal: Map<string, string>
   ): void {
-    const rooms = this._rooms(group, candidates, ownerOf)
-    const open: IShardSpec[] = []
+    const quotas = this._computeQuotas(group, candidates, ownerOf)
+    const unassigned: IShardSpec[] = []
     for (const shard of this._byHash(group.shards, (each) => `${group.name}|${each.shardId}`)) {
-      const room = rooms.find((each) => each.processId === ownerOf(shard.shardId))
-      if (room === undefined || room.room === 0) open.push(shard)
-      else this._give(shard, room, proposal)
+      const quota = quotas.find((each) => each.processId === ownerOf(shard.shardId))
+      if (quota === undefined || quota.remaining === 0) unassigned.push(shard)
+      else this._assign(shard, quota, proposal)
     }
-    for (const shard of open) {
-      const room = this._best(shard, rooms)
-      if (room !== undefined) this._give(shard, room, proposal)
+    for (const shard of unassigned) {
+      const quota = this._chooseQuota(shard, quotas)
+      if (quota !== undefined) this._assign(shard, quota, proposal)
     }
   }
 
-  private _give (shard: IShardSpec, room: IRoom, proposal: Map<string, string>): void {
-    room.room -= 1
-    proposal.set(shard.shardId, room.processId)
+  private _assign (shard: IShardSpec, quota: IQuota, proposal: Map<string, string>): void {
+    quota.remaining -= 1
+    proposal.set(shard.shardId, quota.processId)
   }
 
-  /** Even shares. What doesn't divide goes to those who own the most now, so that it need not move. */
-  private _rooms (group: IGroup, candidates: readonly ICandidate[], ownerOf: (shardId: string) => string | undefined): readonly IRoom[] {
+  /** Computes even quotas. The remainder goes to the members that own the most shards now, so that fewer shards move. */
+  private _computeQuotas (group: IGroup, candidates: readonly ICandidate[], ownerOf: (shardId: string) => string | undefined): readonly IQuota[] {
     const near = candidates.filter((candidate) => candidate.region === group.region)
     const eligible = near.length > 0 ? near : candidates
     const share = Math.floor(group.shards.length / eligible.length)
@@ -101,13 +101,13 @@
     const owned = (processId: string): number => counts.get(processId) ?? 0
     return this._byHash(eligible, (each) => `${group.name}|${each.processId}`)
       .sort((left, right) => owned(right.processId) - owned(left.processId))
-      .map((each, index) => ({ processId: each.processId, room: index < extras ? share + 1 : share }))
+      .map((each, index) => ({ processId: each.processId, remaining: index < extras ? share + 1 : share }))
   }
 
-  /** Of those with room, the one with the highest hash of shard and process. */
-  private _best (shard: IShardSpec, rooms: readonly IRoom[]): IRoom | undefined {
-    const open = rooms.filter((each) => each.room > 0)
-    return this._byHash(open, (each) => `${shard.shardId}|${each.processId}`)[0]
+  /** The member with the highest hash of shard and process among those whose quota is not used up. */
+  private _chooseQuota (shard: IShardSpec, quotas: readonly IQuota[]): IQuota | undefined {
+    const available = quotas.filter((each) => each.remaining > 0)
+    return this._byHash(available, (each) => `${shard.shardId}|${each.processId}`)[0]
   }
 
   private _byHash<T> (items: readonly T[], text: (item: T) => string): T[] {
--- a/src/common/state/ShardOwnership.ts
+++ b/src/common/state/ShardOwnership.ts
@@ -1,11 +1,11 @@
 /**
- * One shard as this process sees it: whether it is ours, and which write comes next. The states are those of
- * `charts/shardOwnership.json`, which this class interprets.
+ * The ownership of one shard as this process sees it: whether the process owns it, and which write comes next. The states are
+ * those of `charts/shardOwnership.json`, which this class interprets.
  *
- * What can go wrong: a process is paused, its lease lapses, another one takes the shard over, and the first wakes
- * believing that it owns it; one would see two processes place on the same hosts. The epoch prevents it: each change
- * of owner raises it by compare-and-swap, and hosts and logs refuse an older one. So this class only has to notice:
- * from a fence, from the record, or from a lost write.
+ * It guards against this failure: a process is paused, its lease expires, another process takes the shard over, and the first one
+ * wakes and still believes that it is the owner. Both would place work on the same hosts. The epoch prevents this: each change of
+ * owner raises it by compare-and-swap, and hosts and logs refuse an older one. So this class only has to detect the loss: from a
+ * fence, from the record, or from a failed write.
  */
 
 import type { ChartTable } from './ChartTable.js'
@@ -23,16 +23,16 @@
 }
 
 export type OwnershipChange =
-  /** Ours: fence the hosts or take the log over, then call `ready`. */
+  /** This process owns the shard: fence the hosts or take the log over, then call `ready`. */
   | { readonly type: 'acquired', readonly epoch: number }
-  /** Not ours any more: place nothing, answer nothing on its behalf. */
+  /** This process no longer owns the shard: place nothing and answer nothing on its behalf. */
   | { readonly type: 'lost', readonly epoch: number, readonly event: OwnershipEvent }
 
 export interface IRecordWrite extends IStoreWrite {
   readonly record: IShardRecord
 }
 
-/** All that a `ShardOwnership` remembers, as plain data. */
+/** The whole state of a `ShardOwnership`, as plain data. */
 export interface IOwnershipSnapshot {
   readonly state: OwnershipState
   readonly record: IShardRecord | undefined
@@ -46,16 +46,16 @@
   ok: 'WRITE_OK',
   nothing: 'WRITE_NOTHING',
   ambiguous: 'READ_BACK',
-  // The conflict may be with an earlier try of this same write, whose answer was lost.
+  // The conflict may be with an earlier try of the same write, whose answer was lost.
   conflict: 'READ_BACK'
 }
 
-/** States in which a write is under way or in doubt. */
-const WRITING: ReadonlySet<OwnershipState> = new Set(['taking', 'confirming', 'releasing'])
+/** States in which a write is in flight or its outcome is unknown. */
+const WRITING_STATES: ReadonlySet<OwnershipState> = new Set(['taking', 'confirming', 'releasing'])
 
-const HELD: ReadonlySet<OwnershipState> = new Set(['recovering', 'serving', 'releasing'])
+const HELD_STATES: ReadonlySet<OwnershipState> = new Set(['recovering', 'serving', 'releasing'])
 
-/** Where the record of a shard stands. */
+/** The store key of a shard's record. */
 export function shardKey (shardId: string): string {
   return `shards/${shardId}`
 }
@@ -66,7 +66,7 @@
   private _modRevision: number
   private _write: IRecordWrite | undefined
   private _heldEpoch: number
-  /** The highest epoch that a host or a log has been seen to hold; the next one must be higher. */
+  /** The highest epoch that a host or a log was seen with. The next epoch must be higher. */
   private _fencedEpoch: number
 
   public constructor (
@@ -84,7 +84,7 @@
     this._fencedEpoch = from?.fencedEpoch ?? 0
   }
 
-  /** For the dump of a process, and for the specification, which explores states. */
+  /** The state as plain data, for the dump of a process and for the specification, which explores states. */
   public snapshot (): IOwnershipSnapshot {
     return {
       state: this._state,
@@ -100,83 +100,86 @@
     return this._state
   }
 
-  /** Our epoch while the shard is held. */
+  /** The epoch of this process while it holds the shard. */
   public get epoch (): number {
     return this._heldEpoch
   }
 
   public get held (): boolean {
-    return HELD.has(this._state)
+    return HELD_STATES.has(this._state)
   }
 
-  /** The record as last seen. */
+  /** The record as it was last seen. */
   public get record (): IShardRecord | undefined {
     return this._record
   }
 
-  /** Whether the owner on record is gone, has restarted, has released it, or is this process with lost memory of it. */
+  /**
+   * Whether this process may take the shard over: the recorded owner is gone, has restarted or has released it, or is this
+   * process, which lost track of it.
+   */
   public canTake (isAlive: (owner: IOwner) => boolean): boolean {
     if (this._state !== 'absent') return false
     const owner = this.owner
     return owner === undefined || this._isSelf(owner) || !isAlive(owner)
   }
 
-  /** The owner on record; undefined if there is none or it was released. */
+  /** The recorded owner; undefined if there is none or the shard was released. */
   public get owner (): IOwner | undefined {
     if (this._record === undefined || this._record.owner === '') return undefined
     return { processId: this._record.owner, incarnation: this._record.ownerIncarnation }
   }
 
-  /** Starts a takeover; do the write and report to `wrote`. */
+  /** Starts a takeover. Do the returned write and report its outcome to `wrote`. */
   public take (): IRecordWrite | undefined {
     if (!this._chart.takes(this._state, 'TAKE')) return undefined
     this._write = this._buildWrite(this._self, Math.max(this._record?.epoch ?? 0, this._fencedEpoch) + 1)
-    this._step('TAKE')
+    this._applyEvent('TAKE')
     return this._write
   }
 
-  /** Starts a planned release; the epoch stays on record. */
+  /** Starts a planned release. The epoch stays in the record. */
   public release (): IRecordWrite | undefined {
     if (!this._chart.takes(this._state, 'RELEASE')) return undefined
     this._write = this._buildWrite({ processId: '', incarnation: 0 }, this._heldEpoch)
-    this._step('RELEASE')
+    this._applyEvent('RELEASE')
     return this._write
   }
 
-  /** The write under way, to be done again word for word after a doubt. */
+  /** The write in flight, to be repeated unchanged if its outcome is unknown. */
   public get pendingWrite (): IRecordWrite | undefined {
     return this._state === 'taking' || this._state === 'releasing' ? this._write : undefined
   }
 
-  /** Reports how a write went. After `confirming` or `releasing`, read the record next and report it to `observe`. */
+  /** Reports the outcome of a write. In the states `confirming` and `releasing`, read the record next and report it to `observe`. */
   public wrote (write: IRecordWrite, outcome: WriteOutcome, modRevision: number): OwnershipChange | undefined {
     if (write.record.nonce !== this._write?.record.nonce) return undefined
-    if (outcome === 'ok') this._see(write.record, modRevision)
-    return this._step(EVENT_BY_OUTCOME[outcome])
+    if (outcome === 'ok') this._setRecord(write.record, modRevision)
+    return this._applyEvent(EVENT_BY_OUTCOME[outcome])
   }
 
   /**
-   * Reports the record as a read or the watch gave it. An older revision than one already seen is ignored: a watch
-   * lags, and acting on it would drop a shard that has just been taken.
+   * Reports the record as a read or the watch returned it. A revision older than the latest one seen is ignored: a watch lags
+   * behind, and acting on it would drop a shard that has just been taken.
    */
   public observe (record: IShardRecord | undefined, modRevision: number): OwnershipChange | undefined {
     if (modRevision < this._modRevision) return undefined
-    this._see(record, modRevision)
-    return this._step(this._eventOf(record, modRevision === this._write?.expectedModRevision))
+    this._setRecord(record, modRevision)
+    return this._applyEvent(this._eventOf(record, modRevision === this._write?.expectedModRevision))
   }
 
-  /** A host or a log refused our epoch. One not above ours is an echo of an earlier owner. */
+  /** Reports that a host or a log refused an epoch. If its epoch isn't above ours, the refusal is a late answer to an earlier owner. */
   public fenced (currentEpoch: number): OwnershipChange | undefined {
     this._fencedEpoch = Math.max(this._fencedEpoch, currentEpoch)
-    return currentEpoch > this._heldEpoch ? this._step('FENCED') : undefined
+    return currentEpoch > this._heldEpoch ? this._applyEvent('FENCED') : undefined
   }
 
-  /** Everything that the takeover needs has been read: from now on it may place. */
+  /** Reports that the takeover has read everything that it needs: from now on this process may place work. */
   public ready (epoch: number): void {
-    if (epoch === this._heldEpoch) this._step('READY')
+    if (epoch === this._heldEpoch) this._applyEvent('READY')
   }
 
-  private _see (record: IShardRecord | undefined, modRevision: number): void {
+  private _setRecord (record: IShardRecord | undefined, modRevision: number): void {
     this._record = record
     this._modRevision = modRevision
   }
@@ -187,7 +190,7 @@
     return unchanged ? 'SEEN_UNCHANGED' : 'SEEN_OTHER'
   }
 
-  /** Our own write, whether it is the one under way or an earlier one whose answer never came. */
+  /** Whether the record is a write of this process, either the one in flight or an earlier one that was never answered. */
   private _isOwn (record: IShardRecord | undefined): boolean {
     return record !== undefined && this._isSelf({ processId: record.owner, incarnation: record.ownerIncarnation }) &&
       record.epoch > this._fencedEpoch
@@ -209,10 +212,10 @@
     return { key: shardKey(this._spec.shardId), expectedModRevision: this._modRevision, value: JSON.stringify(record), record }
   }
 
-  private _step (event: OwnershipEvent): OwnershipChange | undefined {
+  private _applyEvent (event: OwnershipEvent): OwnershipChange | undefined {
     const heldBefore = this.held
     this._state = this._chart.next(this._state, event) as OwnershipState
-    if (!WRITING.has(this._state)) this._write = undefined
+    if (!WRITING_STATES.has(this._state)) this._write = undefined
     if (this.held === heldBefore) return undefined
     if (this.held) return this._acquired()
     return this._lost(event)
--- a/src/common/state/SliceCodec.ts
+++ b/src/common/state/SliceCodec.ts
@@ -1,6 +1,6 @@
 /**
- * The stored form of an id shard's log: JSON, checked when it is read, because a value that another release or an
- * operator has damaged must give a clear error and not a wrong decision.
+ * Decodes the stored JSON of an id shard's log and of shard records, and checks it: a value that another release or an operator
+ * has damaged must give a clear error instead of a wrong decision.
  */
 
 import { Result, err, ok } from 'neverthrow'
@@ -53,11 +53,11 @@
   return bad < 0 ? ok(entries as SliceEntry[]) : err(damaged(key, `entries[${bad}]`, 'not a log entry'))
 }
 
-/** Reads the head of a slice. */
+/** Decodes the head of an id shard's log. */
 export function decodeHead (key: string, value: string): Result<ISliceHead, InvalidInputError> {
   return parseFields(key, value).andThen((fields) => {
     const bad = firstNotOfType(fields, 'number', ['epoch']) ?? firstNotOfType(fields, 'string', ['owner', 'nonce'])
-    if (bad !== undefined) return err(damaged(key, bad, 'missing or of another type'))
+    if (bad !== undefined) return err(damaged(key, bad, 'missing or of the wrong type'))
     const { segments } = fields
     if (!Array.isArray(segments) || segments.some((name) => typeof name !== 'string')) {
       return err(damaged(key, 'segments', 'not a list of names'))
@@ -66,19 +66,19 @@
   })
 }
 
-/** Reads a sealed segment. */
+/** Decodes a sealed segment. */
 export function decodeSegment (key: string, value: string): Result<ISliceSegment, InvalidInputError> {
   return parseFields(key, value)
     .andThen((fields) => checkEntries(key, fields.entries))
     .map((entries) => ({ entries }))
 }
 
-/** Reads a shard's ownership record. */
+/** Decodes a shard's ownership record. */
 export function decodeShardRecord (key: string, value: string): Result<IShardRecord, InvalidInputError> {
   return parseFields(key, value).andThen((fields) => {
     const bad = firstNotOfType(fields, 'number', ['epoch', 'ownerIncarnation']) ??
       firstNotOfType(fields, 'string', ['shardId', 'kind', 'owner', 'nonce'])
-    if (bad !== undefined) return err(damaged(key, bad, 'missing or of another type'))
+    if (bad !== undefined) return err(damaged(key, bad, 'missing or of the wrong type'))
     return ok(fields as unknown as IShardRecord)
   })
 }
--- a/src/common/state/SliceKeys.ts
+++ b/src/common/state/SliceKeys.ts
@@ -1,8 +1,8 @@
 /**
- * Where an id shard's log stands in the store.
+ * The store keys of an id shard's log.
  */
 
-/** `shardId` as in `ids/07`. */
+/** The key of the head. `shardId` is an id such as `ids/07`. */
 export function headKey (shardId: string): string {
   return `slices/${shardId}/head`
 }
--- a/src/common/state/SliceLog.test.ts
+++ b/src/common/state/SliceLog.test.ts
@@ -1,7 +1,7 @@
 /**
- * An id shard's log against a naive version, over long random runs with outages, lost answers, delayed requests and
- * changes of owner. The naive version is a list: an entry that was reported durable is in it for good, one that was
- * reported dropped never appears.
+ * Compares an id shard's log with a naive version, over long random runs with outages, lost answers, delayed requests and changes
+ * of owner. The naive version is a list: an entry that was reported durable stays in it for good, and one that was reported
+ * dropped never appears.
  */
 
 import test from 'ava'
@@ -19,8 +19,8 @@
 const SEED = 20_261
 const RETENTION_MS = 1_000
 
-/** The store, in its plainest form. */
-class Cells {
+/** A minimal in-memory store. */
+class FakeStore {
   public readonly records = new Map<string, IReadRecord>()
   private _revision = 0
 
@@ -34,11 +34,11 @@
 }
 
 class Run {
-  private readonly _cells = new Cells()
-  private readonly _strays: IStoreWrite[] = []
+  private readonly _store = new FakeStore()
+  private readonly _delayedWrites: IStoreWrite[] = []
   private readonly _durable: string[] = []
   private readonly _dropped = new Set<string>()
-  /** Logs of all owners so far; an old one acts on as a paused process does when it wakes. */
+  /** The logs of all owners so far. An old one keeps writing, as a paused process does when it wakes. */
   private readonly _logs: (SliceLog | undefined)[] = []
   private _count = 0
   private _nonces = 0
@@ -46,9 +46,9 @@
   public takeOver (): void {
     const epoch = this._logs.length + 1
     const by = { shardId: SHARD, owner: `o${epoch}`, epoch }
-    const write = takeoverWrite(by, this._nonce(), this._cells.records.get(headKey(SHARD)))._unsafeUnwrap()
-    const { modRevision } = this._cells.swap(write)
-    const segments = [...this._cells.records.values()].filter(({ key }) => key.startsWith(segmentPrefix(SHARD)))
+    const write = takeoverWrite(by, this._nonce(), this._store.records.get(headKey(SHARD)))._unsafeUnwrap()
+    const { modRevision } = this._store.swap(write)
+    const segments = [...this._store.records.values()].filter(({ key }) => key.startsWith(segmentPrefix(SHARD)))
     const recovered = recoverSlice(SHARD, write.head, modRevision, segments)._unsafeUnwrap()
     this._check(recovered.entries.map(keyOf))
     const options = { ...by, sealBytes: 400, maxCommitBytes: 300, retentionMs: RETENTION_MS }
@@ -65,20 +65,20 @@
     const log = this._log(owner)
     const write = log?.nextWrite()
     if (log === undefined || write === undefined) return
-    if (fault === 'delayed') this._strays.push(write)
-    const done = fault === 'none' || fault === 'answerLost' ? this._cells.swap(write) : undefined
+    if (fault === 'delayed') this._delayedWrites.push(write)
+    const done = fault === 'none' || fault === 'answerLost' ? this._store.swap(write) : undefined
     if (fault === 'none' && done !== undefined) this._handle(owner, log.report(done.outcome, done.modRevision))
     else this._handle(owner, log.report(fault === 'down' ? 'nothing' : 'ambiguous'))
   }
 
-  public arrive (): void {
-    const write = this._strays.shift()
-    if (write !== undefined) this._cells.swap(write)
+  public deliverDelayedWrite (): void {
+    const write = this._delayedWrites.shift()
+    if (write !== undefined) this._store.swap(write)
   }
 
-  /** All that stands in the store, as a new owner would read it, at the end. */
+  /** Delivers the delayed writes and reads the whole log as a new owner would. */
   public finish (): void {
-    while (this._strays.length > 0) this.arrive()
+    while (this._delayedWrites.length > 0) this.deliverDelayedWrite()
     this.takeOver()
   }
 
@@ -99,7 +99,7 @@
   }
 
   private _readBack (owner: number): void {
-    const record = this._cells.records.get(headKey(SHARD))
+    const record = this._store.records.get(headKey(SHARD))
     const head = record === undefined ? undefined : decodeHead(record.key, record.value)._unsafeUnwrap()
     const progress = this._log(owner)?.readBack(head, record?.modRevision ?? 0)
     if (progress !== undefined) this._handle(owner, progress)
@@ -107,11 +107,11 @@
 
   private _check (read: readonly string[]): void {
     const seen = new Set(read)
-    if (seen.size !== read.length) throw new Error(`an entry stands twice: ${read.join()}`)
+    if (seen.size !== read.length) throw new Error(`an entry occurs twice: ${read.join()}`)
     const missing = this._durable.filter((key) => !seen.has(key))
-    if (missing.length > 0) throw new Error(`reported durable, but gone: ${missing.join()}`)
+    if (missing.length > 0) throw new Error(`reported durable but missing: ${missing.join()}`)
     const back = read.filter((key) => this._dropped.has(key))
-    if (back.length > 0) throw new Error(`reported dropped, but there: ${back.join()}`)
+    if (back.length > 0) throw new Error(`reported dropped but present: ${back.join()}`)
   }
 }
 
@@ -123,7 +123,7 @@
   | { readonly type: 'append' | 'takeOver' | 'arrive', readonly owner: number }
   | { readonly type: 'write', readonly owner: number, readonly fault: Parameters<Run['write']>[1] }
 
-/** Mostly the present owner, now and then one that has been superseded. */
+/** Mostly the present owner, sometimes one that has been superseded. */
 const owner = fc.oneof({ weight: 5, arbitrary: fc.constant(0) }, { weight: 1, arbitrary: fc.constantFrom(1, 2) })
 const command: fc.Arbitrary<Command> = fc.oneof(
   { weight: 6, arbitrary: fc.record({ type: fc.constant('append' as const), owner }) },
@@ -131,24 +131,24 @@
   { weight: 1, arbitrary: fc.record({ type: fc.constantFrom('takeOver' as const, 'arrive' as const), owner }) }
 )
 
-function play (commands: readonly Command[]): void {
+function runCommands (commands: readonly Command[]): void {
   const run = new Run()
   run.takeOver()
   for (const each of commands) {
     if (each.type === 'append') run.append(each.owner)
     if (each.type === 'takeOver') run.takeOver()
-    if (each.type === 'arrive') run.arrive()
+    if (each.type === 'arrive') run.deliverDelayedWrite()
     if (each.type === 'write') run.write(each.owner, each.fault)
   }
   run.finish()
 }
 
-test('what was reported durable is there, what was reported dropped is not, whatever failed', (t) => {
-  fc.assert(fc.property(fc.array(command, { maxLength: 200 }), play), { seed: SEED, numRuns: 500 })
+test('entries reported durable are present and entries reported dropped are not, whatever failed', (t) => {
+  fc.assert(fc.property(fc.array(command, { maxLength: 200 }), runCommands), { seed: SEED, numRuns: 500 })
   t.pass()
 })
 
-test('a damaged head or segment gives an error and no crash', (t) => {
+test('a damaged head or segment gives an error instead of a crash', (t) => {
   const text = JSON.stringify({ epoch: 1, owner: 'o', nonce: 'n', segments: ['1-0'], entries: [{ type: 'block', key: 'k', attemptId: 'a', at: 0 }] })
   const damage = fc.record({ at: fc.nat(text.length - 1), cut: fc.nat(20), put: fc.string({ maxLength: 5 }) })
   fc.assert(fc.property(damage, ({ at, cut, put }) => {
@@ -156,7 +156,7 @@
     const found = { key: headKey(SHARD), value, modRevision: 1 }
     const taken = takeoverWrite({ shardId: SHARD, owner: 'p', epoch: 2 }, 'm', found)
     const read = taken.andThen((write) => recoverSlice(SHARD, write.head, 2, [{ key: `${segmentPrefix(SHARD)}1-0`, value, modRevision: 1 }]))
-    if (read.isErr() && !read.error.message.includes('slices/')) throw new Error(`doesn't name the key: ${read.error.message}`)
+    if (read.isErr() && !read.error.message.includes('slices/')) throw new Error(`the error doesn't name the key: ${read.error.message}`)
   }), { seed: SEED, numRuns: 2_000 })
   t.pass()
 })
--- a/src/common/state/SliceLog.ts
+++ b/src/common/state/SliceLog.ts
@@ -1,14 +1,13 @@
 /**
- * The log of one id shard as its owner writes it: which compare-and-swap comes next, and what an outcome means.
+ * The log of one id shard as its owner writes it: which compare-and-swap comes next, and what its outcome means.
  *
- * One write is under way at a time. All entries that have arrived since the last one go into the next head (group
- * commit), so that the number of writes depends on the interval and not on the load. A head that has grown past
- * `sealBytes` is sealed: its entries are written as a segment, and the next head lists that segment and holds the
- * new entries only.
+ * One write is in flight at a time. All entries that have arrived since the last one go into the next head (group commit), so
+ * that the number of writes depends on the interval and not on the load. A head that has grown past `sealBytes` is sealed: its
+ * entries are written as a segment, and the next head lists that segment and contains the new entries only.
  *
- * What can go wrong: the answer to a write is lost. Its entries are then neither durable nor gone, and one would
- * notice a claim granted twice. So such a write is repeated word for word until it is known to stand in the store,
- * or another owner's head is found there; nothing else is written meanwhile.
+ * It guards against lost answers: if the answer to a write is lost, it is unknown whether its entries are durable, and a claim
+ * could be granted twice. So such a write is repeated unchanged until it is found in the store, or another owner's head is found
+ * there; nothing else is written meanwhile.
  */
 
 import { headKey, segmentKey } from './SliceKeys.js'
@@ -54,7 +53,7 @@
   private _compacting: { readonly segment: ISealedSegment, readonly through: number } | undefined
   private _queue: IQueued[] = []
   private _write: Write | undefined
-  private _inDoubt = false
+  private _isInDoubt = false
 
   public constructor (
     private readonly _options: ISliceLogOptions,
@@ -73,18 +72,18 @@
     return this._segments.length
   }
 
-  /** True while a write's outcome is unknown: its entries may or may not be durable. */
+  /** Whether the outcome of a write is unknown, so that its entries may or may not be durable. */
   public get inDoubt (): boolean {
-    return this._inDoubt
+    return this._isInDoubt
   }
 
-  /** Entries that are queued or under way. */
+  /** The number of entries that are queued or part of the write in flight. */
   public get pendingCount (): number {
     const underWay = this._write?.kind === 'head' ? this._write.batch.length : 0
     return underWay + this._queue.length
   }
 
-  /** Queues an entry for the next commit. False: it is larger than a commit may be. */
+  /** Queues an entry for the next commit. Returns false if it is larger than a commit may be. */
   public append (entry: SliceEntry): boolean {
     const json = JSON.stringify(entry)
     if (json.length > this._options.maxCommitBytes) return false
@@ -92,7 +91,7 @@
     return true
   }
 
-  /** The oldest segment, if all that it holds has passed the retention. Append its live jobs, then call `compact`. */
+  /** The oldest segment, if all its entries have passed the retention. Append its live jobs, then call `compact`. */
   public expiredSegment (nowMs: EpochMs): ISealedSegment | undefined {
     const oldest = this._segments[0]
     if (oldest === undefined || this._compacting !== undefined || this._write !== undefined) return undefined
@@ -101,26 +100,26 @@
   }
 
   /**
-   * Lets go of a segment with the commit that makes everything appended so far durable. Were it deleted earlier, a
-   * crash in between would lose the live jobs that it holds.
+   * Removes a segment with the commit that makes everything appended so far durable. If it were deleted earlier, a crash in
+   * between would lose the live jobs that it contains.
    */
   public compact (segment: ISealedSegment): void {
     this._compacting = { segment, through: this._queue.length }
   }
 
-  /** The write to do now, or undefined. After a doubt it is the same write again. */
+  /** The write to do now, if any. While the outcome of a write is unknown, it is the same write again. */
   public nextWrite (): IStoreWrite | undefined {
     this._write ??= this._buildWrite()
     return this._write
   }
 
-  /** Takes back what has not been part of any write: for certain without effect. Undo in reverse order. */
+  /** Drops the entries that have not been part of any write, so that they certainly have no effect. Undo them in reverse order. */
   public dropQueued (): readonly SliceEntry[] {
     this._compacting = undefined
     return this._queue.splice(0).map((item) => item.entry)
   }
 
-  /** Reports how the write given by `nextWrite` went; `modRevision` is the new revision after `ok`. */
+  /** Reports the outcome of the write returned by `nextWrite`; `modRevision` is the new revision if it is `ok`. */
   public report (outcome: WriteOutcome, modRevision = 0): SliceProgress {
     const write = this._write
     if (write === undefined) return { type: 'continue' }
@@ -129,7 +128,7 @@
     return this._reportHead(write, outcome, modRevision)
   }
 
-  /** Reports what stands at the head's key, after `report` asked for it. */
+  /** Reports the stored head, after `report` requested it. */
   public readBack (head: ISliceHead | undefined, modRevision: number): SliceProgress {
     const write = this._write
     if (write?.kind !== 'head') return { type: 'continue' }
@@ -194,7 +193,7 @@
   }
 
   private _reportDelete (): SliceProgress {
-    // A segment that stays behind costs room only; the next owner deletes what its head doesn't list.
+    // A segment that remains only takes up space; the next owner deletes segments that its head doesn't list.
     this._write = undefined
     this._garbage.shift()
     return { type: 'continue' }
@@ -203,32 +202,32 @@
   private _reportSegment (write: ISegmentWrite, outcome: WriteOutcome, modRevision: number): SliceProgress {
     if (outcome === 'ambiguous') return { type: 'continue' }
     if (outcome === 'nothing') return this._drop([])
-    // A conflict means that an earlier try has arrived after all: no one else writes a name with our epoch.
+    // A conflict means that an earlier try of this write did arrive: no one else writes a name with our epoch.
     this._write = undefined
     this._sealCount += 1
-    this._sealed = { name: write.name, modRevision, ...summarise(this._head.entries) }
+    this._sealed = { name: write.name, modRevision, ...summariseEntries(this._head.entries) }
     return { type: 'continue' }
   }
 
   private _reportHead (write: IHeadWrite, outcome: WriteOutcome, modRevision: number): SliceProgress {
     if (outcome === 'ok') return this._commit(write, modRevision)
-    if (outcome === 'nothing' && !this._inDoubt) return this._drop(write.batch)
+    if (outcome === 'nothing' && !this._isInDoubt) return this._drop(write.batch)
     if (outcome === 'nothing') return { type: 'continue' }
-    this._inDoubt = true
+    this._isInDoubt = true
     return { type: 'readBack', key: this._key }
   }
 
   private _commit (write: IHeadWrite, modRevision: number): SliceProgress {
-    this._inDoubt = false
+    this._isInDoubt = false
     this._write = undefined
     this._head = write.head
     this._headBytes = write.value?.length ?? 0
     this._modRevision = modRevision
-    this._noteSegments(write)
+    this._updateSegments(write)
     return { type: 'committed', entries: write.batch.map((item) => item.entry) }
   }
 
-  private _noteSegments (write: IHeadWrite): void {
+  private _updateSegments (write: IHeadWrite): void {
     this._segments = this._segments.filter((segment) => segment !== write.compacted)
     if (write.sealed !== undefined) {
       this._segments = [...this._segments, write.sealed]
@@ -249,8 +248,8 @@
   }
 }
 
-/** What a segment of these entries needs to be known by. */
-export function summarise (entries: readonly SliceEntry[]): Pick<ISealedSegment, 'newestAt' | 'jobIds'> {
+/** The properties of a segment with these entries that the log keeps in memory. */
+export function summariseEntries (entries: readonly SliceEntry[]): Pick<ISealedSegment, 'newestAt' | 'jobIds'> {
   const newestAt = entries.reduce((newest, entry) => Math.max(newest, entry.at), 0)
   const jobIds = entries.flatMap((entry) => entry.type === 'job' ? [entry.job.jobId] : [])
   return { newestAt, jobIds }
--- a/src/common/state/SliceLogTypes.ts
+++ b/src/common/state/SliceLogTypes.ts
@@ -1,5 +1,5 @@
 /**
- * What an id shard's log is given and what it reports.
+ * Options, start state and results of an id shard's log.
  */
 
 import type { EpochMs } from '../Types.js'
@@ -9,11 +9,11 @@
   readonly shardId: string
   readonly owner: string
   readonly epoch: number
-  /** A head above this size is sealed, in bytes of JSON: each commit writes the whole head again. */
+  /** The size above which a head is sealed, in bytes of JSON: each commit writes the whole head again. */
   readonly sealBytes: number
-  /** The most that one commit adds, in bytes of JSON; keeps a value below the store's megabyte. */
+  /** The maximum size that one commit adds, in bytes of JSON: keeps a value below the store's limit of one megabyte. */
   readonly maxCommitBytes: number
-  /** Claims and ended jobs are kept this long, in milliseconds. */
+  /** How long claims and ended jobs are kept, in milliseconds. */
   readonly retentionMs: number
 }
 
@@ -23,7 +23,7 @@
   retentionMs: 600_000
 } as const
 
-/** Added to the retention because a new owner's wall clock may differ from that of the owner who stamped the entries. */
+/** Added to the retention, since a new owner's wall clock may differ from that of the owner that stamped the entries. */
 export const WALL_CLOCK_MARGIN_MS = 60_000
 
 /** A sealed segment that the log still needs. */
@@ -31,29 +31,29 @@
   readonly name: string
   readonly modRevision: number
   readonly newestAt: EpochMs
-  /** Jobs whose entry stands in it. */
+  /** The ids of the jobs whose entries it contains. */
   readonly jobIds: readonly string[]
 }
 
-/** What a reported outcome has brought about. */
+/** The result of a reported outcome. */
 export type SliceProgress =
-  /** These are durable now. */
+  /** These entries are durable now. */
   | { readonly type: 'committed', readonly entries: readonly SliceEntry[] }
-  /** Without effect: these and all that were queued behind them are forgotten; take them back in reverse order. */
+  /** The write had no effect. These entries, which include all that were queued behind it, are discarded; undo them in reverse order. */
   | { readonly type: 'dropped', readonly entries: readonly SliceEntry[] }
   /** Read `key` and report it to `readBack`, then ask for the next write. */
   | { readonly type: 'readBack', readonly key: string }
-  /** Another owner has raised the epoch: stop. */
+  /** Another owner has raised the epoch: stop writing. */
   | { readonly type: 'lost' }
   /** Nothing to report; ask for the next write. */
   | { readonly type: 'continue' }
 
 export interface ISliceStart {
-  /** The head as the takeover wrote it, and the revision of that write. */
+  /** The head that the takeover wrote, and the revision of that write. */
   readonly head: ISliceHead
   readonly modRevision: number
   /** The segments that the head lists, oldest first. */
   readonly segments: readonly ISealedSegment[]
-  /** Segments that the head doesn't list: left behind by an interrupted seal or compaction. */
+  /** Segments that the head doesn't list, left behind by an interrupted seal or compaction. */
   readonly garbage: readonly { readonly key: string, readonly modRevision: number }[]
 }
--- a/src/common/state/SliceTables.ts
+++ b/src/common/state/SliceTables.ts
@@ -1,8 +1,8 @@
 /**
- * What an id shard's log says, kept up to date entry by entry: claims and jobs.
+ * The claims and jobs of an id shard's log, updated entry by entry.
  *
- * Entries count from the moment they are queued, so that two claims in the same commit can't both be granted. They
- * are taken back if the commit proves without effect; answers wait until it is durable.
+ * Entries count as soon as they are queued, so that two claims in the same commit can't both be granted. They are undone if the
+ * commit had no effect; answers wait until the commit is durable.
  */
 
 import { ClaimTable } from './ClaimTable.js'
@@ -17,7 +17,7 @@
   public readonly jobs = new JobTable()
   private readonly _undos: Undo[] = []
 
-  /** Takes in entries that are durable already. */
+  /** Applies entries that are already durable. */
   public recover (entries: readonly SliceEntry[]): void {
     for (const entry of entries) {
       this.claims.apply(entry)
@@ -25,7 +25,7 @@
     }
   }
 
-  /** Takes in an entry that has been queued. */
+  /** Applies an entry that has been queued. */
   public queue (entry: SliceEntry): void {
     const undoClaim = this.claims.apply(entry)
     const undoJob = this.jobs.apply(entry)
@@ -35,18 +35,18 @@
     })
   }
 
-  /** The oldest `count` queued entries are durable. */
+  /** Records that the oldest `count` queued entries are durable. */
   public committed (count: number): void {
     this._undos.splice(0, count)
   }
 
-  /** The newest `count` queued entries are without effect. */
+  /** Undoes the newest `count` queued entries, which had no effect. */
   public dropped (count: number): void {
     const undos = this._undos.splice(this._undos.length - count, count)
     for (const undo of undos.reverse()) undo()
   }
 
-  /** Forgets what is older than `before`. */
+  /** Forgets claims and ended jobs older than `before`. */
   public expire (before: EpochMs): void {
     this.claims.expire(before)
     this.jobs.expire(before)
--- a/src/common/state/SliceTakeover.ts
+++ b/src/common/state/SliceTakeover.ts
@@ -1,19 +1,19 @@
 /**
- * How a new owner takes an id shard's log over: raise the epoch in the head first, read the segments then. From the
- * moment the head is written, a paused old owner's next commit conflicts, so nothing can be added to what is read.
+ * Takes over an id shard's log as a new owner: it raises the epoch in the head first and reads the segments after that. Once the
+ * head is written, the next commit of a paused old owner conflicts, so nothing can be added to what is read.
  */
 
 import { err, ok } from 'neverthrow'
 import { FencedError, InvalidInputError } from '../Errors.js'
 import { decodeHead, decodeSegment } from './SliceCodec.js'
 import { headKey, segmentPrefix } from './SliceKeys.js'
-import { summarise } from './SliceLog.js'
+import { summariseEntries } from './SliceLog.js'
 
 import type { Result } from 'neverthrow'
 import type { ISealedSegment, ISliceStart } from './SliceLogTypes.js'
 import type { ISliceHead, IStoreWrite, SliceEntry } from './Types.js'
 
-/** A record as the store gives it. */
+/** A record as the store returns it. */
 export interface IReadRecord {
   readonly key: string
   readonly value: string
@@ -26,7 +26,7 @@
 
 export interface IRecoveredSlice {
   readonly start: ISliceStart
-  /** Everything in the log, oldest first. */
+  /** All entries of the log, oldest first. */
   readonly entries: readonly SliceEntry[]
 }
 
@@ -36,7 +36,7 @@
   readonly epoch: number
 }
 
-/** The write that raises the epoch in the head. `FencedError`: a newer owner has been there. */
+/** Builds the write that raises the epoch in the head. Returns a `FencedError` if a newer owner has raised it already. */
 export function takeoverWrite (
   by: ISliceClaimant, nonce: string, found: IReadRecord | undefined
 ): Result<ITakeoverWrite, FencedError | InvalidInputError> {
@@ -51,7 +51,7 @@
   })
 }
 
-/** Puts the log together from the head that was written and the segments that were read after it. */
+/** Assembles the log from the head that was written and the segments that were read after it. */
 export function recoverSlice (
   shardId: string, head: ISliceHead, modRevision: number, records: readonly IReadRecord[]
 ): Result<IRecoveredSlice, InvalidInputError> {
@@ -62,19 +62,19 @@
   for (const name of head.segments) {
     const read = readSegment(prefix + name, byName.get(name))
     if (read.isErr()) return err(read.error)
-    segments.push({ name, modRevision: read.value.modRevision, ...summarise(read.value.entries) })
+    segments.push({ name, modRevision: read.value.modRevision, ...summariseEntries(read.value.entries) })
     entries.push(...read.value.entries)
   }
   const garbage = records.filter((record) => !head.segments.includes(record.key.slice(prefix.length)))
   return ok({ start: { head, modRevision, segments, garbage }, entries: [...entries, ...head.entries] })
 }
 
-interface IReadSegment {
+interface ISegmentRead {
   readonly entries: readonly SliceEntry[]
   readonly modRevision: number
 }
 
-function readSegment (key: string, record: IReadRecord | undefined): Result<IReadSegment, InvalidInputError> {
+function readSegment (key: string, record: IReadRecord | undefined): Result<ISegmentRead, InvalidInputError> {
   if (record === undefined) return err(new InvalidInputError('slice.recover', key, 'segment', 'listed in the head but absent'))
   return decodeSegment(key, record.value).map(({ entries }) => ({ entries, modRevision: record.modRevision }))
 }
--- a/src/common/state/TaskLeases.test.ts
+++ b/src/common/state/TaskLeases.test.ts
@@ -1,5 +1,5 @@
 /**
- * When the next attempt of a task may start.
+ * Decides when the next attempt of a task may start.
  */
 
 import test from 'ava'
@@ -11,7 +11,7 @@
   return { hostMs, sentAtMs: localMs, receivedAtMs: localMs }
 }
 
-test('what the host has not listed under our epoch has ended; what it lists has not', (t) => {
+test('an attempt that the host has not listed under our epoch has ended; one that it lists has not', (t) => {
   const leases = new TaskLeases(OPTIONS)
   t.is(leases.nextAttempt('t', 1, 0), 'unfenced')
   leases.noteFenced(at(5_000, 0), [{ taskId: 'u', attempt: 2, running: true }])
@@ -22,9 +22,9 @@
   t.is(leases.nextAttempt('u', 2, 100), 'ended')
 })
 
-// A host goes silent while a renewal may still be on its way. Counted from the last answer, the task would start
-// again elsewhere while the late renewal keeps the first one alive.
-test('a lease lapses by the latest expiry ever sent, with the drift, and once the store has confirmed', (t) => {
+// A host becomes silent while a renewal may still be in flight. If the lease were counted from the last answer, the task would
+// start again elsewhere while the late renewal keeps the first attempt alive.
+test('a lease lapses after the latest expiry ever sent plus the drift, once the store has confirmed', (t) => {
   const leases = new TaskLeases(OPTIONS)
   leases.noteFenced(at(5_000, 0), [])
   leases.noteSent('t', 1, leases.expiryFor(0) ?? 0)
@@ -38,7 +38,7 @@
   t.is(leases.nextAttempt('t', 1, 1_600), 'lapsed')
 })
 
-// The earlier owner renewed a task just before it was fenced; its renewal holds until a lease after the fence.
+// The earlier owner renewed a task just before the host was fenced; its renewal is valid for a whole lease after the fence.
 test('an inherited lease lasts a whole lease after the fence', (t) => {
   const leases = new TaskLeases(OPTIONS)
   leases.noteFenced(at(5_000, 0), [{ taskId: 't', attempt: 1, running: true }])
--- a/src/common/state/TaskLeases.ts
+++ b/src/common/state/TaskLeases.ts
@@ -1,20 +1,20 @@
 /**
- * The leases of the tasks on one host, as the owner of its shard sees them, and the one question that matters: may
- * the next attempt of a task start?
+ * The leases of the tasks on one host, as the owner of its shard knows them. They decide whether the next attempt of a task may
+ * start.
  *
- * It may in two cases only:
- * 1. The host itself has said, under our epoch, that the attempt has ended or that it doesn't know it. Under our
- *    epoch no start or renewal of an earlier owner can arrive any more.
- * 2. The host has been fenced under our epoch, and its clock has for certain passed the latest expiry that any
- *    command could have carried: ours, whether answered or not, and the earlier owners', which end at the latest
- *    `leaseMs` after the fence on the host's clock, since they too count from answers of this host. And the store has
- *    confirmed, in a read sent after that, that the shard is still ours: a newer owner may have renewed the lease
- *    without our knowledge, and we may start the next attempt on a host of another shard, which still obeys us.
- *    Without the read, one would see a task twice after a pause of its first owner.
+ * It may start in two cases only:
+ * 1. The host itself has reported, under our epoch, that the attempt has ended or that it doesn't know it. Under our epoch no
+ * start or renewal of an earlier owner can take effect any more.
+ * 2. The host has been fenced under our epoch, and its clock has certainly passed the latest expiry that any command could have
+ * set. This covers our commands, whether answered or not, and those of earlier owners, which expire at the latest `leaseMs` after
+ * the fence on the host's clock, since they too count from answers of this host. In addition, the store has confirmed, in a read
+ * sent after that, that we still own the shard: a newer owner may have renewed the lease without our knowledge, and we might
+ * start the next attempt on a host of another shard, which still accepts our commands. Without this read, a task could run twice
+ * after a pause of its first owner.
  *
- * It may not while the host hasn't been fenced under our epoch, however long ago it was heard of: an earlier owner
- * that is cut off from the store but not from the host may go on renewing. Nor does our own clock count: the time
- * of sending bounds nothing, because a renewal may still be on its way.
+ * It may not start while the host hasn't been fenced under our epoch, however long the host has been silent: an earlier owner
+ * that is cut off from the store but not from the host may keep renewing the lease. Our own clock doesn't count either: the time
+ * of sending gives no bound, since a renewal may still be in flight.
  */
 
 import { HostClock } from './HostClock.js'
@@ -23,19 +23,19 @@
 import type { IHostClockSnapshot } from './HostClock.js'
 
 export interface ITaskLeasesOptions {
-  /** How far ahead of the host's clock a lease is set, in milliseconds. */
+  /** The duration of a lease on the host's clock, in milliseconds. */
   readonly leaseMs: number
-  /** The most that two clocks run apart, as a share of the time that passes. */
+  /** The maximum drift between two clocks, as a share of the elapsed time. */
   readonly maxDrift: number
 }
 
 /**
- * `ended`: the host said so. `lapsed`: its lease has. `unconfirmed`: its lease seems to have; read the shard's record
- * and report it. `unfenced`, `leased`: not yet.
+ * `ended`: the host reported the end. `lapsed`: the lease has certainly expired. `unconfirmed`: the lease seems to have expired;
+ * read the shard's record and report it with `noteConfirmed`. `unfenced`, `leased`: the next attempt may not start yet.
  */
 export type NextAttempt = 'ended' | 'lapsed' | 'unconfirmed' | 'unfenced' | 'leased'
 
-/** What the host says of one attempt. */
+/** The host's report of one attempt. */
 export interface IAttemptReport {
   readonly taskId: string
   readonly attempt: number
@@ -45,7 +45,7 @@
 interface IAttempt {
   readonly attempt: number
   readonly ended: boolean
-  /** The host's clock at which its lease ends at the latest, by anything that was ever sent. */
+  /** The latest time on the host's clock at which its lease can end, by any command ever sent. */
   readonly expiresHostMs: number
 }
 
@@ -86,7 +86,7 @@
     }
   }
 
-  /** The host has accepted our epoch and listed all that it runs. */
+  /** Records that the host has accepted our epoch, with the list of everything that it runs. */
   public noteFenced (clock: IHostClockSnapshot, reports: readonly IAttemptReport[]): void {
     this._fenced = true
     this._inheritedUntilHostMs = clock.hostMs + this._options.leaseMs
@@ -94,21 +94,21 @@
   }
 
   /**
-   * What runs on the host and what has ended there. An attempt of ours that isn't on it stays as it is: its start
-   * may still be on its way.
+   * Records a list of what runs on the host and what has ended there. An attempt of ours that isn't listed is left unchanged,
+   * since its start may still be in flight.
    */
   public noteList (clock: IHostClockSnapshot, reports: readonly IAttemptReport[]): void {
     this._clock.observe(clock)
-    for (const report of reports) this._noteReport(report)
+    for (const report of reports) this._recordReport(report)
   }
 
-  /** Expiry for a start or a renewal that is sent now, on the host's clock; undefined before the host was heard of. */
+  /** The expiry for a start or a renewal that is sent now, on the host's clock; undefined before the first answer of the host. */
   public expiryFor (nowMs: MonotonicMs): number | undefined {
     const hostMs = this._clock.earliestMs(nowMs)
     return hostMs === undefined ? undefined : hostMs + this._options.leaseMs
   }
 
-  /** Note it before sending: the command counts even if its answer never comes. */
+  /** Records a start or a renewal. To be called before it is sent: the command counts even if it is never answered. */
   public noteSent (taskId: string, attempt: number, expiresHostMs: number): void {
     const known = this._attempts.get(taskId)
     const same = known?.attempt === attempt ? known : undefined
@@ -119,7 +119,7 @@
     })
   }
 
-  /** The store has shown the shard's record with our epoch, in a read sent at `sentAtMs`. */
+  /** Records that the store has returned the shard's record with our epoch, in a read sent at `sentAtMs`. */
   public noteConfirmed (sentAtMs: MonotonicMs): void {
     this._confirmedAtMs = Math.max(this._confirmedAtMs, sentAtMs)
   }
@@ -145,7 +145,7 @@
     return hostMs !== undefined && hostMs > attempt.expiresHostMs
   }
 
-  private _noteReport (report: IAttemptReport): void {
+  private _recordReport (report: IAttemptReport): void {
     const known = this._attempts.get(report.taskId)
     if (known !== undefined && known.attempt > report.attempt) return
     const expiresHostMs = known?.attempt === report.attempt ? known.expiresHostMs : this._inheritedUntilHostMs
--- a/src/common/state/Types.ts
+++ b/src/common/state/Types.ts
@@ -1,6 +1,7 @@
 /**
- * The state that outlives a process: shards with their owners, and the log of an id shard, which holds claims of
- * non-idempotent requests and accepted jobs. All of it free of I/O: the classes say what to write and hear how it went.
+ * Types of the state that outlives a process: shards with their owners, and the log of an id shard, which holds claims of
+ * non-idempotent requests and accepted jobs. The classes that use them do no I/O: they return the writes to be done and are told
+ * the outcomes.
  */
 
 import type { IJobSpec, JobState } from '../protocol/Types.js'
@@ -8,25 +9,25 @@
 
 export type ShardKind = 'runners' | 'workers' | 'ids'
 
-/** A shard that is to have an owner. */
+/** A shard that needs an owner. */
 export interface IShardSpec {
   readonly shardId: string
   readonly kind: ShardKind
-  /** Where its hosts stand; absent for `ids`, which any region may own. */
+  /** The region of its hosts; absent for `ids` shards, which any region may own. */
   readonly region?: string
 }
 
-/** The store's record of a shard, at `shards/<shardId>`. It is attached to no lease, so that the epoch never goes back. */
+/** The store's record of a shard, at `shards/<shardId>`. No lease is attached to it, so that it is never deleted and the epoch never decreases. */
 export interface IShardRecord {
   readonly shardId: string
   readonly kind: ShardKind
-  /** `processId`; empty when released. */
+  /** The `processId` of the owner; empty if the shard was released. */
   readonly owner: string
-  /** The incarnation that owns it: a restarted process is a different owner. */
+  /** The incarnation of the owner: a restarted process counts as another owner. */
   readonly ownerIncarnation: number
-  /** Raised by every change of owner. */
+  /** Increased by every change of owner. */
   readonly epoch: number
-  /** Differs with each write, so that a writer recognises its own after a lost answer. */
+  /** Unique for each write, so that a writer recognises its own write after its answer was lost. */
   readonly nonce: string
 }
 
@@ -39,37 +40,38 @@
   | { readonly type: 'jobEnd', readonly jobId: string, readonly state: JobState, readonly at: EpochMs }
 
 /**
- * The head of an id shard's log, at `slices/<shardId>/head`. Each commit is a compare-and-swap of the head, so that a
- * new owner who has raised the epoch in it fences a paused old one.
+ * The head of an id shard's log, at `slices/<shardId>/head`. Each commit is a compare-and-swap of the head, so a new owner that
+ * has raised the epoch in it fences a paused old owner.
  */
 export interface ISliceHead {
   readonly epoch: number
   readonly owner: string
   readonly nonce: string
   /**
-   * The sealed segments that belong to the log, oldest first, at `slices/<shardId>/segments/<name>`. A name holds
-   * the epoch of its writer, so that a paused old owner can't overwrite a newer owner's; one not listed is garbage.
+   * The names of the sealed segments of the log, oldest first, stored at `slices/<shardId>/segments/<name>`. A name contains the
+   * epoch of its writer, so that a paused old owner can't overwrite a newer owner's segment. A stored segment that isn't listed
+   * is garbage.
    */
   readonly segments: readonly string[]
   readonly entries: readonly SliceEntry[]
 }
 
-/** What a sealed segment holds. */
+/** The stored value of a sealed segment. */
 export interface ISliceSegment {
   readonly entries: readonly SliceEntry[]
 }
 
-/** A compare-and-swap that a pure class wants done. */
+/** A compare-and-swap to be done in the store. */
 export interface IStoreWrite {
   readonly key: string
   readonly expectedModRevision: number
-  /** Absent: delete. */
+  /** Absent to delete the key. */
   readonly value: string | undefined
 }
 
 /**
- * How a write went: `ok`; `conflict`: another revision stands there; `nothing`: for certain without effect;
- * `ambiguous`: sent, no answer.
+ * The outcome of a write. `ok`: written; `conflict`: the key has another revision; `nothing`: certainly without effect;
+ * `ambiguous`: sent, but not answered.
  */
 export type WriteOutcome = 'ok' | 'conflict' | 'nothing' | 'ambiguous'
 
