--- a/src/common/cell/AdviceSeeker.ts
+++ b/src/common/cell/AdviceSeeker.ts
@@ -16,7 +16,7 @@
 import type { AdviceOutcome, ITicket } from './Types.js'
 
 export interface IAdviceEffects extends IAdviceSender {
-  /** Schedules a call of the scheduler's `pass`. */
+  /** Requests a scheduling pass soon. */
   requestPass (): void
   noteTime (name: string, ms: number): void
   count (name: string, kind: string): void
--- a/src/common/state/GangReservation.ts
+++ b/src/common/state/GangReservation.ts
@@ -131,7 +131,7 @@
     if (this._phase === 'givingBack' && this._parts.size === 0) this._phase = 'givenBack'
   }
 
-  /** Reports that `giveBack` was not answered: `commands` returns it again. */
+  /** Reports that `giveBack` was not answered, so that it is sent again. */
   public giveBackFailed (scheduler: string): void {
     const part = this._parts.get(scheduler)
     if (part?.state === 'giving') this._parts.set(scheduler, { ...part, state: 'reserved' })
--- a/src/common/state/JobFence.ts
+++ b/src/common/state/JobFence.ts
@@ -67,7 +67,7 @@
     return this._owners.get(idShard)?.owner
   }
 
-  /** Decides whether to start an attempt. The attempt counts as known only once `noteHeld` is called, since there may be no room for it. */
+  /** Decides whether to start an attempt. It counts as known only once it is recorded as held, since there may be no room for it. */
   public decide (command: IJobCommand): AttemptDecision {
     if (!this.accept(command.idShard, command.epoch, command.owner)) return 'superseded'
     const known = this._tasks.get(command.task)
--- a/src/common/state/ShardOwnership.ts
+++ b/src/common/state/ShardOwnership.ts
@@ -23,7 +23,7 @@
 }
 
 export type OwnershipChange =
-  /** This process owns the shard: fence the hosts or take the log over, then call `ready`. */
+  /** This process owns the shard: fence the hosts or take the log over, then mark the shard as ready. */
   | { readonly type: 'acquired', readonly epoch: number }
   /** This process no longer owns the shard: place nothing and answer nothing on its behalf. */
   | { readonly type: 'lost', readonly epoch: number, readonly event: OwnershipEvent }
@@ -130,7 +130,7 @@
     return { processId: this._record.owner, incarnation: this._record.ownerIncarnation }
   }
 
-  /** Starts a takeover. Do the returned write and report its outcome to `wrote`. */
+  /** Starts a takeover. Do the returned write and report its outcome. */
   public take (): IRecordWrite | undefined {
     if (!this._chart.takes(this._state, 'TAKE')) return undefined
     this._write = this._buildWrite(this._self, Math.max(this._record?.epoch ?? 0, this._fencedEpoch) + 1)
--- a/src/common/state/SliceLog.ts
+++ b/src/common/state/SliceLog.ts
@@ -128,7 +128,7 @@
     return this._reportHead(write, outcome, modRevision)
   }
 
-  /** Reports the stored head, after `report` requested it. */
+  /** Reports the stored head, after a reported outcome asked for it. */
   public readBack (head: ISliceHead | undefined, modRevision: number): SliceProgress {
     const write = this._write
     if (write?.kind !== 'head') return { type: 'continue' }
--- a/src/common/state/SliceLogTypes.ts
+++ b/src/common/state/SliceLogTypes.ts
@@ -41,7 +41,7 @@
   | { readonly type: 'committed', readonly entries: readonly SliceEntry[] }
   /** The write had no effect. These entries, which include all that were queued behind it, are discarded; undo them in reverse order. */
   | { readonly type: 'dropped', readonly entries: readonly SliceEntry[] }
-  /** Read `key` and report it to `readBack`, then ask for the next write. */
+  /** Read the head at `key` and report it, then ask for the next write. */
   | { readonly type: 'readBack', readonly key: string }
   /** Another owner has raised the epoch: stop writing. */
   | { readonly type: 'lost' }
--- a/src/common/state/TaskLeases.ts
+++ b/src/common/state/TaskLeases.ts
@@ -31,7 +31,7 @@
 
 /**
  * `ended`: the host reported the end. `lapsed`: the lease has certainly expired. `unconfirmed`: the lease seems to have expired;
- * read the shard's record and report it with `noteConfirmed`. `unfenced`, `leased`: the next attempt may not start yet.
+ * read the shard's record and record the confirmation. `unfenced`, `leased`: the next attempt may not start yet.
  */
 export type NextAttempt = 'ended' | 'lapsed' | 'unconfirmed' | 'unfenced' | 'leased'
 
