--- a/src/common/cell/CellScheduler.ts
+++ b/src/common/cell/CellScheduler.ts
@@ -52,7 +52,7 @@
   private readonly _openJobs = new Set<Job>()
   private readonly _speeds = new HostSpeeds()
   private readonly _runController: RunController
-  private readonly _holdReader: HoldReader
+  private readonly _holdHandler: HoldReader
   private readonly _advice: AdviceSeeker
   private readonly _stalled: StalledRuns
   private _lastReservations: GangRoom | undefined
@@ -77,7 +77,7 @@
       },
       onChange
     }, _chart, _clock, _log)
-    this._holdReader = new HoldReader(this._runController, this._speeds, {
+    this._holdHandler = new HoldReader(this._runController, this._speeds, {
       save: async (job) => { await _effects.save(job) },
       count: (name, kind) => { _effects.count(name, kind) },
       stopUnknown: async (host, ref) => await _effects.stopUnknown(host.entry, ref)
@@ -144,14 +144,14 @@
   }
 
   public readHold (host: HostState, answer: IHoldAnswer, sentAtMs: MonotonicMs): void {
-    this._holdReader.applyAnswer(host, answer, sentAtMs)
+    this._holdHandler.applyAnswer(host, answer, sentAtMs)
     this._effects.requestPass()
   }
 
   /** Gives up the runs of a host that has been silent for longer than any lease. Returns whether the host has no runs left. */
   public noteSilence (host: HostState): boolean {
     if (!host.hasLapsed(this._clock.nowMs())) return false
-    if (host.attempts.size > 0) this._holdReader.loseAllRuns(host)
+    if (host.attempts.size > 0) this._holdHandler.loseAllRuns(host)
     return host.attempts.size === 0
   }
 
@@ -180,13 +180,13 @@
   /** Places every task that can be placed now, the most urgent first. */
   public pass (): void {
     const nowMs = this._clock.nowMs()
-    const gangRoom = new GangRoom(this.hosts.values())
+    const reservations = new GangRoom(this.hosts.values())
     const view: IPlacementView = {
       nowMs,
       hosts: this.hosts,
       farFactor: this._options.farFactor,
       slowHosts: this._speeds.findSlowHosts(this.hosts.values()),
-      headroom: (host, step) => addResources(urgentHeadroom(host, step), gangRoom.reservedOn(host, isAtRisk(step, nowMs))),
+      headroom: (host, step) => addResources(urgentHeadroom(host, step), reservations.reservedOn(host, isAtRisk(step, nowMs))),
       // Uses the reservations of the previous pass: urgent work is placed first, before this pass knows which gangs have to wait.
       hasReservation: (host) => this._lastReservations?.hasReservation(host) === true
     }
@@ -194,9 +194,9 @@
       const advice = this._advice.ensureAdvice(step)
       if (step.job.queue.advice !== undefined && !advice.hasAnswer) continue
       if (!step.spec.gang) this._placeTasks(step, view)
-      else if (!this._placeGang(step, view)) this._reserveForGang(step, gangRoom, view)
+      else if (!this._placeGang(step, view)) this._reserveForGang(step, reservations, view)
     }
-    this._lastReservations = gangRoom
+    this._lastReservations = reservations
   }
 
   /** Current values for the metrics. */
@@ -248,8 +248,8 @@
   }
 
   /** Reserves capacity for a waiting gang, and renews its tickets so that they are valid when that capacity becomes free. */
-  private _reserveForGang (step: Step, gangRoom: GangRoom, view: IPlacementView): void {
-    const reservation = gangRoom.reserve(step, view, isLate(step.job, view.nowMs))
+  private _reserveForGang (step: Step, reservations: GangRoom, view: IPlacementView): void {
+    const reservation = reservations.reserve(step, view, isLate(step.job, view.nowMs))
     const { advice } = step
     if (reservation === undefined || advice === undefined || step.job.queue.advice === undefined) return
     const callMs = expectedAdviceMs(step, reservation.hosts.length) + ADVICE_AHEAD_MS
--- a/src/common/cell/EndRules.ts
+++ b/src/common/cell/EndRules.ts
@@ -38,7 +38,7 @@
 function recordFailure (task: Task, run: number, hostId: string): void {
   const { step } = task
   task.failures += 1
-  task.avoid.add(hostId)
+  task.avoidedHosts.add(hostId)
   if (!step.spec.gang || run <= step.lastFailedRun) return
   step.lastFailedRun = run
   step.gangFailures += 1
--- a/src/common/cell/GangRoom.ts
+++ b/src/common/cell/GangRoom.ts
@@ -16,7 +16,7 @@
 import { NO_RESOURCES, addResources, resourcesOf } from './Room.js'
 import type { IResources } from './Room.js'
 
-/** Capacity that becomes free later than this is not reserved, in ms: the longest run time that is usual. */
+/** Capacity that becomes free later than this, in ms, is not reserved: about the run time of the longest usual tasks. */
 const HORIZON_MS = 5000
 /** The share of all hosts' processors that waiting gangs may reserve together. Much of it is still in use. */
 const MAX_RESERVED_SHARE = 0.4
@@ -71,9 +71,9 @@
     return { hosts: [...new Set(places.map(({ host }) => host))], waitMs: last.waitMs }
   }
 
-  private _addReservation (reserved: Map<HostState, IResources>, host: HostState, room: IResources): void {
-    reserved.set(host, addResources(reserved.get(host) ?? NO_RESOURCES, room))
-    this._leftMillicores -= room.cpuMillicores
+  private _addReservation (reserved: Map<HostState, IResources>, host: HostState, resources: IResources): void {
+    reserved.set(host, addResources(reserved.get(host) ?? NO_RESOURCES, resources))
+    this._leftMillicores -= resources.cpuMillicores
   }
 }
 
--- a/src/common/cell/Job.ts
+++ b/src/common/cell/Job.ts
@@ -21,7 +21,7 @@
   /** The task is not placed before this time. */
   public notBeforeMs: MonotonicMs = 0
   /** Hosts on which a run of the task has failed or stalled. */
-  public readonly avoid = new Set<string>()
+  public readonly avoidedHosts = new Set<string>()
 
   public constructor (public readonly step: Step, public readonly index: number) {}
 
--- a/src/common/cell/Placement.ts
+++ b/src/common/cell/Placement.ts
@@ -172,7 +172,7 @@
     const adviceMs = job.queue.advice === undefined || advice?.findTicket(host.hostId, host.bornMs, this._view.nowMs) !== undefined
       ? 0
       : job.queue.advice.baseMs
-    const avoidMs = task.avoid.has(host.hostId) ? spec.estimateMs * 10 + 10_000 : 0
+    const avoidMs = task.avoidedHosts.has(host.hostId) ? spec.estimateMs * 10 + 10_000 : 0
     const reservedMs = !spec.gang && this._view.hasReservation(host) ? spec.estimateMs * RESERVED_WEIGHT : 0
     const used = (this._used.get(host) ?? 0) * spec.cpuMillicores
     const freeShare = (host.freeCpu - used) / Math.max(1, host.entry.cpuMillicores)
--- a/src/common/cell/StalledRuns.ts
+++ b/src/common/cell/StalledRuns.ts
@@ -28,7 +28,7 @@
     for (const attempt of [...host.attempts]) {
       if (!isStalled(attempt, nowMs)) continue
       this._log.warn('run.stalled', { ...runLogFields(attempt), percent: attempt.percent, stillMs: Math.round(nowMs - attempt.percentAtMs) })
-      attempt.task.avoid.add(host.hostId)
+      attempt.task.avoidedHosts.add(host.hostId)
       host.pausePlacement(nowMs + STALLED_PAUSE_MS)
       if (attempt.task.step.spec.gang) this._runs.stopStep(attempt.task.step, 'stalled')
       else this._runs.stop(attempt, 'stalled')
--- a/src/common/cell/Types.ts
+++ b/src/common/cell/Types.ts
@@ -102,7 +102,7 @@
 export interface IStartOrder {
   readonly ref: IRunRef
   readonly description: string
-  /** On the host's clock. The host refuses the order after this time, and holds the lease of the run until then. */
+  /** On the host's clock. The host refuses the order after this time, and the leases of its runs last until then. */
   readonly deadlineMs: number
   readonly fence: number
   readonly checkpoint: string
--- a/src/common/state/SliceTakeover.ts
+++ b/src/common/state/SliceTakeover.ts
@@ -38,14 +38,14 @@
 
 /** Builds the write that raises the epoch in the head. Returns a `FencedError` if a newer owner has raised it already. */
 export function takeoverWrite (
-  by: ISliceClaimant, nonce: string, found: IReadRecord | undefined
+  claimant: ISliceClaimant, nonce: string, found: IReadRecord | undefined
 ): Result<ITakeoverWrite, FencedError | InvalidInputError> {
-  const key = headKey(by.shardId)
+  const key = headKey(claimant.shardId)
   const before: Result<ISliceHead | undefined, InvalidInputError> = found === undefined ? ok(undefined) : decodeHead(key, found.value)
   return before.andThen((old): Result<ITakeoverWrite, FencedError> => {
-    if (old !== undefined && old.epoch > by.epoch) return err(new FencedError('slice.takeOver', key, old.epoch))
+    if (old !== undefined && old.epoch > claimant.epoch) return err(new FencedError('slice.takeOver', key, old.epoch))
     const head: ISliceHead = {
-      epoch: by.epoch, owner: by.owner, nonce, segments: old?.segments ?? [], entries: old?.entries ?? []
+      epoch: claimant.epoch, owner: claimant.owner, nonce, segments: old?.segments ?? [], entries: old?.entries ?? []
     }
     return ok({ key, expectedModRevision: found?.modRevision ?? 0, value: JSON.stringify(head), head })
   })
