--- a/src/cell/AnswerLimit.ts
+++ b/src/cell/AnswerLimit.ts
@@ -1,37 +1,37 @@
 /**
- * How long an answer may take before it counts as missing, learned from the answers before it.
+ * Timeout for an answer, adapted to the durations of the answers before it.
  *
- * The load this is for: an owner whose processor or link is used up, by a burst or by reading all jobs after a takeover. By a fixed limit it
- * counts as dead, or as cut off from the store, and the next owner, which has to read all jobs first, is as busy: one sees the cell
- * change hands every few seconds while nothing gets done.
+ * An owner can run out of processor or bandwidth, because of a burst or because it reads all jobs after a takeover. With a fixed timeout it
+ * would be considered dead, or cut off from the store. The next owner has to read all jobs first and is just as busy, so the cell would
+ * change owners every few seconds without any progress.
  */
 
 export interface IAnswerLimitOptions {
-  /** An answer may take at least so long, in ms. */
-  readonly leastMs: number
-  /** The same while few answers are known, in ms. */
-  readonly unknownMs: number
+  /** Lower bound of the timeout, in ms. */
+  readonly minMs: number
+  /** Lower bound while there are fewer than `MIN_SAMPLES` answers, in ms. */
+  readonly initialMs: number
 }
 
-const MOST_MS = 3000
-/** How many times as long as the slowest answer of late it may take. */
+const MAX_LIMIT_MS = 3000
+/** The timeout is the duration of the slowest recent answer times this factor. */
 const SLOWEST_FACTOR = 2
-const REMEMBERED_ANSWERS = 40
-const ANSWERS_TO_JUDGE = 5
+const MAX_SAMPLES = 40
+const MIN_SAMPLES = 5
 
 export class AnswerLimit {
-  private readonly _tookMs: number[] = []
+  private readonly _samplesMs: number[] = []
 
   public constructor (private readonly _options: IAnswerLimitOptions) {}
 
-  public note (tookMs: number): void {
-    this._tookMs.push(tookMs)
-    if (this._tookMs.length > REMEMBERED_ANSWERS) this._tookMs.shift()
+  public recordAnswer (durationMs: number): void {
+    this._samplesMs.push(durationMs)
+    if (this._samplesMs.length > MAX_SAMPLES) this._samplesMs.shift()
   }
 
   public get limitMs (): number {
-    const { leastMs, unknownMs } = this._options
-    const learnedMs = Math.min(MOST_MS, Math.max(leastMs, ...this._tookMs.map((ms) => ms * SLOWEST_FACTOR)))
-    return this._tookMs.length < ANSWERS_TO_JUDGE ? Math.max(unknownMs, learnedMs) : learnedMs
+    const { minMs, initialMs } = this._options
+    const adaptedMs = Math.min(MAX_LIMIT_MS, Math.max(minMs, ...this._samplesMs.map((ms) => ms * SLOWEST_FACTOR)))
+    return this._samplesMs.length < MIN_SAMPLES ? Math.max(initialMs, adaptedMs) : adaptedMs
   }
 }
--- a/src/cell/BatchCommit.ts
+++ b/src/cell/BatchCommit.ts
@@ -1,9 +1,9 @@
 /**
- * Sends one transaction of a lane until it is known what became of it.
+ * Commits one transaction of a lane, and repeats it until its outcome is known.
  *
- * An answer that is overdue is still waited for while the transaction goes out again: at most one of the tries takes effect,
- * since each expects the lane's record as it was before. Were one try waited for at a time, every lost answer would hold up all that is
- * written, and a store that has just become slow would be asked anew before it can answer.
+ * A transaction whose answer is overdue is sent again while the earlier answer is still awaited. At most one of the attempts takes effect,
+ * since each expects the lane's record as it was before the transaction. If only one attempt were pending at a time, each lost answer would
+ * delay all later writes, and a store that has just become slow would be asked again before it can answer.
  */
 
 import { OWNER_KEY } from './Keys.js'
@@ -13,22 +13,22 @@
 import type { IClock, ITimers, MonotonicMs } from '../common/Types.js'
 import type { StoreLatency } from './StoreLatency.js'
 
-/** Why something is not stored, for certain. */
+/** Why a write is certainly not stored. */
 export type RefusalCause = 'storeAway' | 'ownershipLost'
 
-export type BatchFate =
+export type BatchOutcome =
   | { readonly kind: 'stored', readonly revision: number }
-  /** Not done, and it never will be. */
+  /** The transaction has not been carried out and never will be. */
   | { readonly kind: 'notStored', readonly reason: string, readonly cause: RefusalCause }
   | { readonly kind: 'unknown', readonly reason: string }
 
 export interface IBatchEffects {
-  /** The store has not answered in its usual time, or has turned a try away. */
-  noteFailing (forMs: number): void
-  /** Each try so far was turned away; gives whether the transaction is given up rather than sent again. */
-  isGivenUp (): boolean
-  settle (fate: BatchFate): void
-  /** Another process owns the cell, or writes in this lane; comes after `settle`. */
+  /** The store has not answered within its usual time, or has refused an attempt. */
+  reportFailing (forMs: number): void
+  /** Whether to give up the transaction instead of repeating it; asked when each attempt so far was refused. */
+  shouldGiveUp (): boolean
+  settle (outcome: BatchOutcome): void
+  /** Another process owns the cell or writes in this lane; called after `settle`. */
   onOwnershipLost (reason: string): void
 }
 
@@ -40,18 +40,21 @@
   readonly ownerRevision: number
 }
 
-/** After this time a try's connection counts as dead, in ms: four times the answer of a store that is ninety times as slow as usual. */
-const TRY_TIMEOUT_MS = 1500
-/** More tries than this aren't waited for at once; those before them are past hope. */
-const MAX_TRIES_AT_ONCE = 5
-/** After a try that failed at once the next one comes after this time, in ms. */
-const RETRY_MS = 60
+/**
+ * Timeout of one attempt, after which its connection is considered dead, in ms. A store that is 90 times as slow as usual answers within a
+ * quarter of it.
+ */
+const ATTEMPT_TIMEOUT_MS = 1500
+/** Limit of attempts that are pending at the same time. Earlier ones are unlikely to be answered. */
+const MAX_PENDING_ATTEMPTS = 5
+/** Delay of the next attempt after one that failed immediately, in ms. */
+const RETRY_DELAY_MS = 60
 
 export class BatchCommit {
-  private _tries = 0
-  private _waitingFor = 0
-  private _triedAtMs: MonotonicMs = -Infinity
-  /** A try had no answer: it may have been done, or may be done later. */
+  private _attempts = 0
+  private _pendingAttempts = 0
+  private _lastAttemptAtMs: MonotonicMs = -Infinity
+  /** An attempt had no answer: it may have been carried out, or may be carried out later. */
   private _isInDoubt = false
   private _isAbandoned = false
   private _isSettled = false
@@ -66,97 +69,102 @@
   ) {}
 
   public start (): void {
-    this._try()
+    this._sendAttempt()
   }
 
-  /** No further tries: this process owns the cell no longer. Tells what the tries on the way bring, or that it is unknown. */
+  /** Sends no further attempts, because this process no longer owns the cell. The outcome is that of the pending attempts, or unknown. */
   public abandon (): void {
     this._isAbandoned = true
-    if (this._waitingFor === 0) this._settleAbandoned()
+    if (this._pendingAttempts === 0) this._settleAbandoned()
   }
 
-  /** The store answers other calls by now: what it was silent to is sent again. */
-  public tryNow (): void {
-    if (this._isSettled || this._isAbandoned || this._waitingFor > MAX_TRIES_AT_ONCE || this._clock.nowMs() - this._triedAtMs < RETRY_MS) return
-    this._try()
+  /** Sends the transaction again at once; to be called when the store has answered another call. */
+  public retryNow (): void {
+    if (this._isSettled || this._isAbandoned || this._pendingAttempts > MAX_PENDING_ATTEMPTS ||
+      this._clock.nowMs() - this._lastAttemptAtMs < RETRY_DELAY_MS) return
+    this._sendAttempt()
   }
 
-  private _try (): void {
-    this._tries += 1
-    this._waitingFor += 1
+  private _sendAttempt (): void {
+    this._attempts += 1
+    this._pendingAttempts += 1
     const sentAtMs = this._clock.nowMs()
-    this._triedAtMs = sentAtMs
-    this._store.commit(this._batch.transaction, TRY_TIMEOUT_MS).then((outcome) => {
-      this._waitingFor -= 1
+    this._lastAttemptAtMs = sentAtMs
+    this._store.commit(this._batch.transaction, ATTEMPT_TIMEOUT_MS).then((outcome) => {
+      this._pendingAttempts -= 1
       if (!this._isSettled) this._onOutcome(outcome, this._clock.nowMs() - sentAtMs)
     }, (error: unknown) => { this._log.error('store.commitFailed', { reason: String(error) }) })
-    this._tryAgainAfter(this._latency.overdueMs(this._tries), sentAtMs)
+    this._scheduleRetry(this._latency.overdueMs(this._attempts), sentAtMs)
   }
 
-  /** Unless another try has been made by then. */
-  private _tryAgainAfter (delayMs: number, sentAtMs?: number): void {
-    const tries = this._tries
+  /** Sends another attempt after the delay, unless one has been sent by then. */
+  private _scheduleRetry (delayMs: number, sentAtMs?: number): void {
+    const attempts = this._attempts
     this._clock.after(delayMs, () => {
-      if (this._isSettled || this._isAbandoned || this._tries !== tries) return
-      if (sentAtMs !== undefined) this._effects.noteFailing(this._clock.nowMs() - sentAtMs)
-      if (this._waitingFor < MAX_TRIES_AT_ONCE) this._try()
-      else this._tryAgainAfter(this._latency.overdueMs(tries))
+      if (this._isSettled || this._isAbandoned || this._attempts !== attempts) return
+      if (sentAtMs !== undefined) this._effects.reportFailing(this._clock.nowMs() - sentAtMs)
+      if (this._pendingAttempts < MAX_PENDING_ATTEMPTS) this._sendAttempt()
+      else this._scheduleRetry(this._latency.overdueMs(attempts))
     })
   }
 
-  private _onOutcome (outcome: CommitOutcome, tookMs: number): void {
+  private _onOutcome (outcome: CommitOutcome, durationMs: number): void {
     switch (outcome.kind) {
       case 'committed':
-        this._latency.note(tookMs)
+        this._latency.recordAnswer(durationMs)
         return this._settle({ kind: 'stored', revision: outcome.revision })
       case 'conflict':
         return this._onConflict(outcome.items)
       case 'leaseGone':
-        // Said of a lease that a transaction names; a lane's names none.
-        return this._onLost({ kind: 'unknown', reason: 'no such lease' }, 'the store knows no such lease')
+        // Only a transaction that names a lease gets this outcome, and a lane names none.
+        return this._settleAsLost({ kind: 'unknown', reason: 'the lease does not exist' }, 'the lease does not exist in the store')
       case 'unanswered':
         this._isInDoubt = true
-        return this._onFailed(outcome.kind, outcome.reason, tookMs)
+        return this._onFailure(outcome.kind, outcome.reason, durationMs)
       case 'refused':
-        return this._onFailed(outcome.kind, outcome.reason, tookMs)
+        return this._onFailure(outcome.kind, outcome.reason, durationMs)
     }
   }
 
-  private _onFailed (kind: string, reason: string, tookMs: number): void {
-    this._logFailed(kind, reason, tookMs)
+  private _onFailure (kind: string, reason: string, durationMs: number): void {
+    this._logFailure(kind, reason, durationMs)
     if (this._isAbandoned) {
-      if (this._waitingFor === 0) this._settleAbandoned()
+      if (this._pendingAttempts === 0) this._settleAbandoned()
       return
     }
-    this._effects.noteFailing(tookMs)
-    if (this._waitingFor > 0) return
-    if (!this._isInDoubt && this._effects.isGivenUp()) this._settle({ kind: 'notStored', reason, cause: 'storeAway' })
-    else this._tryAgainAfter(Math.max(0, RETRY_MS - tookMs))
+    this._effects.reportFailing(durationMs)
+    if (this._pendingAttempts > 0) return
+    if (!this._isInDoubt && this._effects.shouldGiveUp()) this._settle({ kind: 'notStored', reason, cause: 'storeAway' })
+    else this._scheduleRetry(Math.max(0, RETRY_DELAY_MS - durationMs))
   }
 
-  /** The first try, the second, the fourth and so on: a store that is away for seconds would fill the log with 16 lines a second for each lane. */
-  private _logFailed (outcome: string, reason: string, tookMs: number): void {
-    if (!Number.isInteger(Math.log2(this._tries))) return
+  /**
+   * Logs the first failure, the second, the fourth and so on. Otherwise, a store outage of some seconds would write 16 lines a second for
+   * each lane.
+   */
+  private _logFailure (outcome: string, reason: string, durationMs: number): void {
+    if (!Number.isInteger(Math.log2(this._attempts))) return
     this._log.warn('store.notCommitted', {
-      outcome, reason, durationMs: Math.round(tookMs), writes: this._batch.transaction.puts.length, tries: this._tries
+      outcome, reason, durationMs: Math.round(durationMs), writes: this._batch.transaction.puts.length, tries: this._attempts
     })
   }
 
-  /** One of our own tries has been done, or another process has the ownership record or this lane. */
+  /** Either an earlier attempt has been carried out, or another process has written the ownership record or this lane. */
   private _onConflict (items: readonly IMetadataItem[]): void {
     const { laneKey, laneValue, laneRevision, ownerRevision } = this._batch
     const lane = items.find((item) => item.key === laneKey)
     if (lane?.value === laneValue) return this._settle({ kind: 'stored', revision: lane.revision })
     const owner = items.find((item) => item.key === OWNER_KEY)
-    if (owner?.revision === ownerRevision) return this._onLost({ kind: 'unknown', reason: 'another writer' }, 'the lane has another writer')
-    // The lane is as it was before the first try, so none has been done; the ownership record never is again, so none will be.
-    const isUntouched = (lane?.revision ?? 0) === laneRevision
+    if (owner?.revision === ownerRevision) return this._settleAsLost({ kind: 'unknown', reason: 'another writer' }, 'the lane has another writer')
+    // The lane's record is unchanged since before the first attempt, so no attempt has been carried out. The ownership record never returns
+    // to the expected revision, so none will be.
+    const isLaneUnchanged = (lane?.revision ?? 0) === laneRevision
     const reason = 'the ownership record has changed'
-    this._onLost(isUntouched ? { kind: 'notStored', reason, cause: 'ownershipLost' } : { kind: 'unknown', reason }, reason)
+    this._settleAsLost(isLaneUnchanged ? { kind: 'notStored', reason, cause: 'ownershipLost' } : { kind: 'unknown', reason }, reason)
   }
 
-  private _onLost (fate: BatchFate, reason: string): void {
-    this._settle(fate)
+  private _settleAsLost (outcome: BatchOutcome, reason: string): void {
+    this._settle(outcome)
     this._effects.onOwnershipLost(reason)
   }
 
@@ -165,8 +173,8 @@
     this._settle(this._isInDoubt ? { kind: 'unknown', reason } : { kind: 'notStored', reason, cause: 'ownershipLost' })
   }
 
-  private _settle (fate: BatchFate): void {
+  private _settle (outcome: BatchOutcome): void {
     this._isSettled = true
-    this._effects.settle(fate)
+    this._effects.settle(outcome)
   }
 }
--- a/src/cell/CallerEntry.test.ts
+++ b/src/cell/CallerEntry.test.ts
@@ -1,5 +1,5 @@
 /**
- * Callers of a process that starts, stops, or is cut off from the store.
+ * Requests of callers to a process that starts, stops, or is cut off from the store.
  */
 
 import test from 'ava'
@@ -17,7 +17,7 @@
 
 const SILENT_ROUTE = { submit: async () => await NEVER, state: async () => await NEVER, cancel: async () => await NEVER }
 
-const CONFIG = { config: { maxBodyBytes: 1000 }, version: 1, ageMs: 0, isCurrent: true, find: () => ({ name: 'queue', pathPrefix: '/queue/' }) }
+const CONFIG = { config: { maxBodyBytes: 1000 }, version: 1, ageMs: 0, isCurrent: true, findQueue: () => ({ name: 'queue', pathPrefix: '/queue/' }) }
 
 function setUp (route: Promise<object> = Promise.resolve(SILENT_ROUTE), config: object = CONFIG): CallerEntry {
   const job = { jobId: 'j', description: '', occurrences: 0, steps: [] }
@@ -32,8 +32,9 @@
   } as unknown as ICallerEntryContext)
 }
 
-test('a process that stops answers what it has not finished, instead of cutting it off', async (t) => {
-  // The owner has not answered by the end of the time to stop. Its connection was cut: the caller saw neither an answer nor a refusal.
+test('a stopping process answers its open requests instead of closing their connections', async (t) => {
+  // The owner does not answer before the grace period ends. If the connection were closed, the caller would get neither an answer nor a
+  // refusal.
   const entry = setUp()
   const url = await entry.listen('127.0.0.1', 0)
   const answers = ['POST', 'GET', 'DELETE'].map(async (method) =>
@@ -43,8 +44,9 @@
   t.deepEqual(await Promise.all(answers), [504, 503, 504])
 })
 
-test('a caller that comes while the process starts is answered once its peers are found', async (t) => {
-  // All processes were killed. Refused connections use up a caller's tries within a second, before the first process can answer.
+test('a request to a starting process is answered once its peers are found', async (t) => {
+  // After all processes were killed, a caller whose connections are refused uses up its attempts within a second, before the first process
+  // can answer.
   let start = (_: object): void => {}
   const entry = setUp(new Promise<object>((resolve) => { start = resolve }))
   const url = await entry.listen('127.0.0.1', 0)
@@ -55,8 +57,8 @@
   await entry.close(20)
 })
 
-test('a caller is sent on by a process that can\'t find its peers', async (t) => {
-  // Held until its time was over, it couldn't try a process that had been there all along.
+test('a process that can\'t find its peers tells callers to retry', async (t) => {
+  // If the request were held until the caller's time is over, the caller could not try a process that works.
   const entry = setUp(NEVER)
   const url = await entry.listen('127.0.0.1', 0)
   const { statusCode, headers } = await request(`${url}/queue/j`, { method: 'POST', body: '{}' })
@@ -65,9 +67,9 @@
   await entry.close(20)
 })
 
-test('a queue that an old configuration does not have may exist', async (t) => {
-  // Its caller was told that there is no such queue, seconds after the queue had been added.
-  const entry = setUp(undefined, { ...CONFIG, isCurrent: false, find: () => undefined })
+test('a process with an old configuration does not say that a queue does not exist', async (t) => {
+  // The queue may have been added seconds ago, so its caller must not be told that it does not exist.
+  const entry = setUp(undefined, { ...CONFIG, isCurrent: false, findQueue: () => undefined })
   const url = await entry.listen('127.0.0.1', 0)
   const { statusCode, headers } = await request(`${url}/queue/j`, { method: 'POST', body: '{}' })
   t.is(statusCode, 503)
@@ -75,8 +77,8 @@
   await entry.close(20)
 })
 
-test('a queue that the newest configuration does not have does not exist', async (t) => {
-  const entry = setUp(undefined, { ...CONFIG, find: () => undefined })
+test('a process with a current configuration says that a queue does not exist', async (t) => {
+  const entry = setUp(undefined, { ...CONFIG, findQueue: () => undefined })
   const url = await entry.listen('127.0.0.1', 0)
   t.is((await request(`${url}/queue/j`, { method: 'GET' })).statusCode, 404)
   await entry.close(20)
--- a/src/cell/CallerEntry.ts
+++ b/src/cell/CallerEntry.ts
@@ -1,5 +1,5 @@
 /**
- * Callers' requests over HTTP: jobs handed in, asked for and cancelled, and the number that wait in a queue.
+ * HTTP server for callers: submits and cancels jobs, and reports the state of a job and the number of jobs that wait in a queue.
  */
 
 import { createServer } from 'node:http'
@@ -20,7 +20,7 @@
 export interface ICallerEntryContext {
   readonly wire: ICallerWire
   readonly config: ConfigFeed
-  /** There once this process has found its peers; callers are taken before that. */
+  /** Resolves once this process can reach its peers. Requests are accepted before that. */
   readonly route: Promise<OwnerRoute>
   readonly clock: IClock & ITimers
   readonly log: ILogger
@@ -28,33 +28,33 @@
   readonly counters: Counters
 }
 
-/** How long a caller waits where it doesn't say so, in ms. */
+/** How long a caller waits if its request doesn't say so, in ms. */
 const DEFAULT_WAIT_MS = 3000
-/** Kept back from the caller's time, in ms: an answer has to reach it. */
+/** Part of the caller's time that is reserved for the transfer of the answer, in ms. */
 const ANSWER_MARGIN_MS = 50
-/** Connections are kept open while idle for this long, in ms; the platform's callers reuse theirs. */
+/** How long an idle connection is kept open, in ms. The platform's callers reuse their connections. */
 const KEEP_ALIVE_MS = 30_000
 const HEADERS_TIMEOUT_MS = 5000
 const MAX_HEADER_BYTES = 32_768
 const RETRY_AFTER_MS = 1000
-/** How long callers wait for a process that is starting, in ms: several times what it takes to find its peers while the store is well. */
-const START_WAIT_MS = 300
-/** The last answers of a process that stops have so long to go out, in ms: several round trips to callers. */
+/** How long a request waits for a process that is starting, in ms: several times what the process takes to find its peers while the store works. */
+const STARTUP_WAIT_MS = 300
+/** Time for the last answers of a stopping process to be transferred, in ms: several round trips to callers. */
 const FLUSH_MS = 150
 const MS_PER_S = 1000
 
-interface ISubmitCall {
+interface ISubmitRequest {
   readonly request: IncomingMessage
   readonly response: ServerResponse
   readonly route: OwnerRoute
-  /** When the request was begun here. */
-  readonly beganAtMs: MonotonicMs
+  /** When this process received the request. */
+  readonly receivedAtMs: MonotonicMs
 }
 
 export class CallerEntry {
   private readonly _server: Server
-  /** Requests without an answer so far. */
-  private readonly _open = new Map<ServerResponse, IncomingMessage>()
+  /** Requests that have not been answered yet. */
+  private readonly _openRequests = new Map<ServerResponse, IncomingMessage>()
   private _isClosing = false
   private _route: OwnerRoute | undefined
 
@@ -62,15 +62,15 @@
     this._server = createServer({
       keepAliveTimeout: KEEP_ALIVE_MS, headersTimeout: HEADERS_TIMEOUT_MS, requestTimeout: HEADERS_TIMEOUT_MS, maxHeaderSize: MAX_HEADER_BYTES
     }, (request, response) => {
-      this._serve(request, response).catch((error: unknown) => { this._fail(response, error) })
+      this._serve(request, response).catch((error: unknown) => { this._answerInternalError(response, error) })
     })
   }
 
   public get inFlight (): number {
-    return this._open.size
+    return this._openRequests.size
   }
 
-  /** Binds, and gives the base URL with the port that was taken. */
+  /** Starts to listen, and returns the base URL with the actual port. */
   public async listen (ip: string, port: number): Promise<string> {
     await new Promise<void>((resolve, reject) => {
       this._server.once('error', reject)
@@ -79,61 +79,61 @@
     return `http://${ip}:${(this._server.address() as AddressInfo).port}`
   }
 
-  /** From now on each answer ends its connection, so that callers go elsewhere. */
+  /** From now on, closes the connection after each answer, so that callers connect to another process. */
   public startClosing (): void {
     this._isClosing = true
   }
 
-  /** Takes no more connections, waits for requests in flight, then answers what is left and closes. */
+  /** Accepts no more connections, waits for the requests in flight, then answers the remaining ones and closes. */
   public async close (graceMs: number): Promise<void> {
     this._isClosing = true
-    const givenUp = setTimeout(() => { this._giveUpOpen() }, graceMs)
-    const cut = setTimeout(() => { this._server.closeAllConnections() }, graceMs + FLUSH_MS)
+    const giveUpTimer = setTimeout(() => { this._answerOpenRequests() }, graceMs)
+    const cutTimer = setTimeout(() => { this._server.closeAllConnections() }, graceMs + FLUSH_MS)
     await new Promise<void>((resolve) => {
       this._server.close(() => { resolve() })
       this._server.closeIdleConnections()
     })
-    clearTimeout(givenUp)
-    clearTimeout(cut)
+    clearTimeout(giveUpTimer)
+    clearTimeout(cutTimer)
   }
 
   /**
-   * The process is about to end. A connection that was cut would tell a caller less than an answer does: it would wait for its own
-   * timeout, or not know whether it was this process or the network that failed.
+   * Answers the open requests because the process is about to end. If their connections were closed instead, callers would wait for their
+   * own timeout, or could not tell a failed process from a failed network.
    */
-  private _giveUpOpen (): void {
-    const open = [...this._open]
-    if (open.length > 0) this._context.log.warn('caller.givenUp', { requests: open.length })
-    for (const [response, { method }] of open) {
-      if (method === 'GET') this._refuse(response, 'this process stops', RETRY_AFTER_MS)
-      else this._send(response, 504, { error: 'not known whether it is done: this process stops' })
+  private _answerOpenRequests (): void {
+    const openRequests = [...this._openRequests]
+    if (openRequests.length > 0) this._context.log.warn('caller.givenUp', { requests: openRequests.length })
+    for (const [response, { method }] of openRequests) {
+      if (method === 'GET') this._refuse(response, 'this process is stopping', RETRY_AFTER_MS)
+      else this._send(response, 504, { error: 'it is not known whether the request was carried out: this process is stopping' })
     }
   }
 
   private async _serve (request: IncomingMessage, response: ServerResponse): Promise<void> {
-    const beganAtMs = this._context.clock.nowMs()
-    this._open.set(response, request)
-    response.once('close', () => { this._open.delete(response) })
+    const receivedAtMs = this._context.clock.nowMs()
+    this._openRequests.set(response, request)
+    response.once('close', () => { this._openRequests.delete(response) })
     const { config } = this._context
-    const route = await this._routeSoon()
+    const route = await this._awaitRoute()
     if (route === undefined) return this._refuse(response, 'this process is starting', RETRY_AFTER_MS)
-    if (config.config === undefined) return this._refuse(response, 'no configuration yet', RETRY_AFTER_MS)
+    if (config.config === undefined) return this._refuse(response, 'this process has no configuration yet', RETRY_AFTER_MS)
     const path = request.url ?? '/'
-    const queue = config.find(hostNameOf(request), path)
-    if (queue === undefined) return this._tellNoQueue(request, response, path)
+    const queue = config.findQueue(hostNameOf(request), path)
+    if (queue === undefined) return this._answerNoQueue(request, response, path)
     const jobId = path.slice(queue.pathPrefix.length)
-    if (jobId === '' && request.method === 'GET') return await this._tellWaiting(route, response, queue)
+    if (jobId === '' && request.method === 'GET') return await this._answerWaiting(route, response, queue)
     if (!this._context.wire.isJobId(jobId)) return this._send(response, 404, { error: 'no such job' })
     switch (request.method) {
-      case 'POST': return await this._submit({ request, response, route, beganAtMs }, queue, jobId)
-      case 'GET': return await this._tellState(route, response, jobId)
+      case 'POST': return await this._submit({ request, response, route, receivedAtMs }, queue, jobId)
+      case 'GET': return await this._answerState(route, response, jobId)
       case 'DELETE': return await this._cancel(route, response, jobId)
-      default: this._send(response, 405, { error: 'POST, GET or DELETE' })
+      default: this._send(response, 405, { error: 'the method must be POST, GET or DELETE' })
     }
   }
 
-  /** Only a current configuration can tell that a queue does not exist: another process may have one that was just added. */
-  private _tellNoQueue (request: IncomingMessage, response: ServerResponse, path: string): void {
+  /** Answers that the queue does not exist only if the configuration is current. Otherwise another process may know a queue that was just added. */
+  private _answerNoQueue (request: IncomingMessage, response: ServerResponse, path: string): void {
     const { config, log } = this._context
     const { isCurrent, version, ageMs } = config
     log.info('caller.noQueue', {
@@ -143,16 +143,16 @@
     else this._refuse(response, 'no such queue in a configuration that may be old', RETRY_AFTER_MS)
   }
 
-  /** Absent where this process has not found its peers in time, as when the store is away while it starts. */
-  private async _routeSoon (): Promise<OwnerRoute | undefined> {
+  /** Undefined if this process does not find its peers in time, for example because the store is unavailable while it starts. */
+  private async _awaitRoute (): Promise<OwnerRoute | undefined> {
     const { route, clock } = this._context
     if (this._route !== undefined) return this._route
-    const late = new Promise<undefined>((resolve) => { clock.after(START_WAIT_MS, () => { resolve(undefined) }) })
-    this._route = await Promise.race([route, late])
+    const timeout = new Promise<undefined>((resolve) => { clock.after(STARTUP_WAIT_MS, () => { resolve(undefined) }) })
+    this._route = await Promise.race([route, timeout])
     return this._route
   }
 
-  private async _submit ({ request, response, route, beganAtMs }: ISubmitCall, queue: IQueue, jobId: string): Promise<void> {
+  private async _submit ({ request, response, route, receivedAtMs }: ISubmitRequest, queue: IQueue, jobId: string): Promise<void> {
     const { config, wire, clock, log, times, counters } = this._context
     const configVersion = config.version
     const body = await readBody(request, config.config?.maxBodyBytes ?? 0)
@@ -160,29 +160,29 @@
     const job = wire.decodeJob(jobId, body.value)
     if (job.isErr()) return this._send(response, 400, { error: job.error })
     const remainingMs = (wire.remainingMs(request.headers) ?? DEFAULT_WAIT_MS) - ANSWER_MARGIN_MS
-    const ageMs = clock.nowMs() - beganAtMs
+    const ageMs = clock.nowMs() - receivedAtMs
     const submission = { jobId, queue: queue.name, record: encodeJob(job.value), ageMs, configVersion }
     const outcome = await route.submit(submission, remainingMs - ageMs)
-    const durationMs = Math.round(clock.nowMs() - beganAtMs)
+    const durationMs = Math.round(clock.nowMs() - receivedAtMs)
     times.record(`submit ${outcome.kind}`, durationMs)
     counters.add('submissions', outcome.kind)
     const reason = outcome.kind === 'accepted' || outcome.kind === 'noQueue' ? undefined : outcome.reason
     log.info('caller.answered', { requestId: jobId, queue: queue.name, outcome: outcome.kind, reason, durationMs, configVersion })
-    this._sendSubmitted(response, outcome)
+    this._sendSubmitOutcome(response, outcome)
   }
 
-  private _sendSubmitted (response: ServerResponse, outcome: SubmitOutcome): void {
+  private _sendSubmitOutcome (response: ServerResponse, outcome: SubmitOutcome): void {
     switch (outcome.kind) {
       case 'accepted': return this._send(response, 200, { state: 'queued' })
       case 'refused': return this._refuse(response, outcome.reason, outcome.retryAfterMs)
       case 'noQueue': return this._send(response, 404, { error: 'no such queue' })
       case 'invalid': return this._send(response, 400, { error: outcome.reason })
-      // It may be stored: neither "taken" nor "not taken" would be true.
-      case 'inDoubt': return this._send(response, 504, { error: `not known whether it is stored: ${outcome.reason}` })
+      // The job may be stored, so neither "accepted" nor "not accepted" would be correct.
+      case 'inDoubt': return this._send(response, 504, { error: `it is not known whether the job is stored: ${outcome.reason}` })
     }
   }
 
-  private async _tellState (route: OwnerRoute, response: ServerResponse, jobId: string): Promise<void> {
+  private async _answerState (route: OwnerRoute, response: ServerResponse, jobId: string): Promise<void> {
     const outcome = await route.state(jobId)
     this._context.counters.add('states', outcome.kind)
     if (outcome.kind === 'known') return this._sendText(response, 200, this._context.wire.encodePhase(outcome.phase))
@@ -198,13 +198,13 @@
     switch (outcome) {
       case 'cancelled': return this._send(response, 200, { state: 'cancelled' })
       case 'unknownJob': return this._send(response, 410, { error: 'no such job' })
-      case 'unavailable': return this._send(response, 504, { error: 'not known whether it is cancelled' })
+      case 'unavailable': return this._send(response, 504, { error: 'it is not known whether the job is cancelled' })
     }
   }
 
-  private async _tellWaiting (route: OwnerRoute, response: ServerResponse, queue: IQueue): Promise<void> {
+  private async _answerWaiting (route: OwnerRoute, response: ServerResponse, queue: IQueue): Promise<void> {
     const count = await route.waiting(queue.name)
-    if (count === undefined) return this._refuse(response, 'the owner can\'t be asked', RETRY_AFTER_MS)
+    if (count === undefined) return this._refuse(response, 'the owner can\'t be reached', RETRY_AFTER_MS)
     this._sendText(response, 200, this._context.wire.encodeWaiting(count))
   }
 
@@ -224,13 +224,13 @@
     response.end(body)
   }
 
-  private _fail (response: ServerResponse, error: unknown): void {
+  private _answerInternalError (response: ServerResponse, error: unknown): void {
     this._context.log.error('caller.failed', { reason: error instanceof Error ? error.stack ?? error.message : String(error) })
     this._send(response, 500, { error: 'internal' })
   }
 }
 
-/** Without a port; names are compared as they come. */
+/** Returns the host name without the port, and does not normalise it. */
 function hostNameOf (request: IncomingMessage): string {
   const host = request.headers.host ?? ''
   const colon = host.lastIndexOf(':')
--- a/src/cell/CellOwner.test.ts
+++ b/src/cell/CellOwner.test.ts
@@ -1,5 +1,5 @@
 /**
- * What the owner of the cell tells of jobs when it has lost the cell, or may have.
+ * Answers of an owner about jobs when it has lost the cell, or may have lost it, and while the store is unavailable.
  */
 
 import test from 'ava'
@@ -44,7 +44,7 @@
   rack: ''
 }
 
-/** A host that runs nothing to its end, and tells so at each look. */
+/** A host on which runs never end, and which lists them at each poll. */
 class Orders {
   private readonly _running: IRunRow[] = []
 
@@ -64,7 +64,7 @@
   public forget (): void {}
 }
 
-/** A store that answers when the test says so. */
+/** A store that answers a transaction when the test calls for it. */
 class HeldStore {
   public isSilent = false
   public isBusy = false
@@ -79,13 +79,13 @@
     return { kind: 'read', value: { items, revision: FENCE } } as const
   }
 
-  /** Answers the oldest transaction that waits, as done. */
+  /** Answers the oldest pending transaction as committed. */
   public carryOut (): void {
     this._revision += 1
     this.held.shift()?.({ kind: 'committed', revision: this._revision })
   }
 
-  /** What the store has under a key, if each transaction but the refused ones was done. */
+  /** The value of a key after all transactions that were not refused. */
   public valueOf (key: string): string | undefined {
     let value: string | undefined
     for (const { puts, removes } of this.commits) {
@@ -134,9 +134,9 @@
   return { owner, clock, store, ownership, confirmed, started, config }
 }
 
-test('an owner that loses the cell before it has read the jobs says of none that it does not exist', async (t) => {
-  // It took the record, and another process took it while the jobs were being read. A caller that asks for its accepted job just then
-  // would be told that there is no such job.
+test('an owner that loses the cell before it has read the jobs does not say that a job does not exist', async (t) => {
+  // Another process takes the cell while this owner reads the jobs. A caller that asks for its accepted job at that moment must not be told
+  // that the job does not exist.
   const { owner } = setUp(t, true)
   const state = owner.state(JOB_ID)
   const cancelled = owner.cancel(JOB_ID)
@@ -147,9 +147,9 @@
   t.is((await submitted).kind, 'notOwner')
 })
 
-test('an owner that may have been replaced says of no job that it does not exist', async (t) => {
-  // It was frozen, or can't reach the store: the next owner may have taken the job. A cancel answered with "no such job" would
-  // leave it running.
+test('an owner that may have been replaced does not say that a job does not exist', async (t) => {
+  // The owner was frozen, or can't reach the store, and the next owner may have accepted the job. If a cancel were answered with "no such
+  // job", the job would go on running.
   const { owner, ownership } = setUp(t)
   await owner.ready
   t.is((await owner.state(JOB_ID)).kind, 'unknownJob')
@@ -158,9 +158,9 @@
   t.is(await owner.cancel(JOB_ID), 'unavailable')
 })
 
-test('a job that never went to the store is left to the next owner, not in doubt', async (t) => {
-  // Ownership ends while the job waits for its transaction. Told that nobody knows, its gateway would wait for an owner that can say so,
-  // and its caller might hear 504.
+test('a job that was never sent to the store is left to the next owner, and is not in doubt', async (t) => {
+  // Ownership ends while the job waits for its transaction. If the outcome were unknown, the gateway would wait for an owner that knows it,
+  // and the caller could get 504.
   const { owner } = setUp(t)
   await owner.ready
   const submitted = owner.submit(SUBMISSION)
@@ -169,7 +169,7 @@
   t.is((await submitted).kind, 'notOwner')
 })
 
-test('a job whose write was on the way when ownership ended is accepted if it was in time', async (t) => {
+test('a job whose write was in flight when ownership ended is accepted if the write was committed', async (t) => {
   const { owner, clock, store } = setUp(t)
   await owner.ready
   const submitted = owner.submit(SUBMISSION)
@@ -179,7 +179,7 @@
   t.is((await submitted).kind, 'accepted')
 })
 
-test('a job whose write came after the next owner took the cell is left to that one', async (t) => {
+test('a job whose write came after the next owner took the cell is left to the next owner', async (t) => {
   const { owner, clock, store } = setUp(t)
   await owner.ready
   const submitted = owner.submit(SUBMISSION)
@@ -200,7 +200,7 @@
 })
 
 test('a cancel that could not be stored before ownership ended is not confirmed', async (t) => {
-  // The next owner has the job as it was and goes on with it: told "cancelled", its caller would see it run.
+  // The next owner has the uncancelled job and runs it, so the caller must not be told that it is cancelled.
   const { owner, clock, store } = setUp(t)
   await owner.ready
   const submitted = owner.submit(SUBMISSION)
@@ -213,9 +213,9 @@
   t.is(await cancelled, 'unavailable')
 })
 
-test('an owner takes jobs again once the store is back, also when it had nothing left to write', async (t) => {
-  // The store turns all writes away for two seconds. Everything on the way is refused; after that only the renewals of the lease tell
-  // that the store is back.
+test('an owner accepts jobs again once the store is back, even if it has no writes left', async (t) => {
+  // The store refuses all writes for two seconds, and all pending jobs are refused. After that, only the renewals of the lease show that
+  // the store is back.
   const { owner, clock, store, confirmed } = setUp(t)
   await owner.ready
   store.isBusy = true
@@ -231,8 +231,8 @@
   t.is((await submitted).kind, 'accepted')
 })
 
-test('a job and its first run go to the store in one transaction, and the run is ordered when both are there', async (t) => {
-  // The store takes 350 ms for an answer. Written one after the other, job and run would take 0.7 s of an urgent job's two seconds.
+test('a job and its first run are stored in one transaction, and the run is ordered when both are stored', async (t) => {
+  // The store takes 350 ms to answer. With two transactions, job and run would take 0.7 s of an urgent job's two seconds.
   const { owner, clock, store, started } = setUpWithHost(t)
   await owner.ready
   await advance(clock, 20, 5)
@@ -254,9 +254,9 @@
   t.true(started.includes(jobId))
 })
 
-test('of a job that was refused nothing is ordered, and nothing of it stays', async (t) => {
-  // Room was taken and a run was about to be recorded when the store turned the job away. Handed in again under the same id, it
-  // must not lose the record of its new run to the removal of the old one: the next owner would start it a second time.
+test('a refused job is not ordered, and leaves no records', async (t) => {
+  // The store refuses a job for which capacity was reserved and a run was about to be recorded. The job is submitted again with the same
+  // id. If the removal of the old run's record deleted the record of the new run, the next owner would start the job a second time.
   const { owner, clock, store, started, confirmed } = setUpWithHost(t)
   await owner.ready
   await advance(clock, 20, 5)
@@ -279,8 +279,9 @@
   t.true(store.valueOf(progressKey(JOB_ID))?.includes('"h"'), store.valueOf(progressKey(JOB_ID)))
 })
 
-test('an owner that can\'t read the configuration by which a job was sent does not decide by its old one', async (t) => {
-  // Its caller was told that there is no such queue, or its job ran as the queue had been before.
+test('an owner that can\'t read the configuration under which a job was sent does not use its older one', async (t) => {
+  // With the older configuration, the caller could be told that the queue does not exist, or the job would run with the queue's previous
+  // settings.
   const { owner, clock, config, started } = setUpWithHost(t)
   config.catchUp = async () => false
   const refusals = []
@@ -294,7 +295,7 @@
   t.deepEqual(started, [])
 })
 
-test('an owner whose store is away refuses a job at once, also one that was sent by a newer configuration', async (t) => {
+test('an owner whose store is unavailable refuses a job at once, even if the job was sent under a newer configuration', async (t) => {
   const { owner, clock, store, config } = setUp(t)
   await owner.ready
   store.isBusy = true
--- a/src/cell/CellOwner.ts
+++ b/src/cell/CellOwner.ts
@@ -1,6 +1,6 @@
 /**
- * The owner of the cell while it is one: takes over what the store and the hosts tell, then decides, orders and records
- * until it is disposed. All its orders carry the fencing token, all its writes expect the ownership record.
+ * The cell's scheduler while this process owns the cell. It restores the jobs and hosts from the store, then schedules, orders runs and
+ * records progress until it is disposed. All its orders to hosts carry the fencing token, and all its writes expect the ownership record.
  */
 
 import { Job } from '../common/cell/Job.js'
@@ -27,11 +27,11 @@
 
 export interface ICellOwnerOptions {
   readonly writerId: string
-  /** The longest lease that a host grants, in ms. */
+  /** The longest lease that a host grants to an owner, in ms. */
   readonly maxHoldMs: number
-  /** How many times as long a task runs away from its data. */
+  /** Factor by which a task takes longer when it runs away from its data. */
   readonly farFactor: number
-  /** How long a finished job can be asked for, in ms. */
+  /** How long callers can ask for a finished job, in ms. */
   readonly statusMs: number
 }
 
@@ -49,26 +49,26 @@
   readonly counters: Counters
 }
 
-/** How long hosts go on being held while the store can't confirm the ownership, beyond the longest lease, in ms. */
+/** How long the owner keeps its leases on hosts while the store can't confirm the ownership, beyond the longest lease, in ms. */
 const UNCONFIRMED_HOLD_MS = 4000
-/** Hosts' clocks may be this much slow. */
+/** Factor by which hosts' clocks may run slow. */
 const SLOW_CLOCK_FACTOR = 1.02
 const INHERITED_MARGIN_MS = 1000
-const SWEEP_MS = 400
+const SWEEP_INTERVAL_MS = 400
 /**
- * Changes gather before the next look at what can be placed, in ms: at least so long, and a multiple of what the last look
- * took, so that looks never take more than a fifth of the processor, however long the queue is.
+ * Delay of a scheduling pass after a change, so that one pass handles several changes: at least this long, in ms, and a multiple of the
+ * duration of the last pass. So passes never take more than a fifth of the processor, however long the queue is.
  */
-const PASS_DELAY_MS = 4
-const PASS_REST_FACTOR = 4
-/** An owner that hasn't read the store after this time leaves the cell to another one, in ms: ten times what it usually takes. */
-const LOAD_LIMIT_MS = 4000
-const COLLECT_MS = 10_000
-/** Finished jobs are kept this much longer than callers may ask, in ms. */
+const MIN_PASS_DELAY_MS = 4
+const PASS_DELAY_FACTOR = 4
+/** An owner that has not read the store within this time steps aside for another process, in ms: ten times the usual duration. */
+const LOAD_TIMEOUT_MS = 4000
+const CLEANUP_INTERVAL_MS = 10_000
+/** Finished jobs are kept this much longer than callers may ask for them, in ms. */
 const STATUS_SLACK_MS = 60_000
-/** When to come back if the store is away or the cell has no owner, in ms. */
+/** When callers should retry if the store is unavailable or the cell has no owner, in ms. */
 const RETRY_AFTER_MS = 1000
-const NEVER_FITS_RETRY_MS = 60_000
+const INFEASIBLE_RETRY_AFTER_MS = 60_000
 
 export class CellOwner implements ICellOwnerPort, IDisposable {
   private readonly _scheduler: CellScheduler
@@ -82,9 +82,9 @@
   private _store: JobStore | undefined
 
   private readonly _disposed: Promise<void>
-  private _noteDisposed = (): void => {}
+  private _resolveDisposed = (): void => {}
 
-  /** Resolves when this owner can answer: its store's jobs are known from then on, or it isn't the owner any more. */
+  /** Resolves when this owner can answer requests: it has read all jobs from the store, or is no longer the owner. */
   public readonly ready: Promise<void>
 
   public constructor (
@@ -95,7 +95,7 @@
     this._scheduler = new CellScheduler({
       save: async (job) => { await (await this._jobStore).save(job) },
       start: async (host, order) => {
-        // Recorded, but the store may have another owner by now: what isn't sent can be placed again.
+        // The run is recorded, but another process may own the cell by now. A run that isn't sent can be placed again.
         if (!_context.ownership.isConfirmed) return { kind: 'unsent' }
         return await orders.start(host, { ...order, fence: _fence })
       },
@@ -116,7 +116,7 @@
       requestPass: () => { this._requestPass() }
     }, _fence, _options.maxHoldMs)
     this._jobStore = this._load()
-    this._disposed = new Promise((resolve) => { this._noteDisposed = resolve })
+    this._disposed = new Promise((resolve) => { this._resolveDisposed = resolve })
     this.ready = Promise.race([this._jobStore.then(() => {}), this._disposed])
   }
 
@@ -125,8 +125,8 @@
     if (this._isDisposed) return { kind: 'notOwner', reason: 'no longer the owner' }
     const { jobId } = submission
     if (this._scheduler.jobs.has(jobId)) return { kind: 'accepted' }
-    const known = this._accepting.get(jobId)
-    if (known !== undefined) return await known
+    const pending = this._accepting.get(jobId)
+    if (pending !== undefined) return await pending
     const accepting = this._accept(submission)
     this._accepting.set(jobId, accepting)
     return await accepting.finally(() => { this._accepting.delete(jobId) })
@@ -136,7 +136,7 @@
     await this.ready
     const job = this._scheduler.jobs.get(jobId)
     if (job !== undefined) return { kind: 'known', phase: job.shownPhase }
-    return this._knowsAllJobs ? { kind: 'unknownJob' } : { kind: 'unavailable', reason: 'another process may own the cell' }
+    return this._hasAllJobs ? { kind: 'unknownJob' } : { kind: 'unavailable', reason: 'another process may own the cell' }
   }
 
   public async cancel (jobId: string): Promise<CancelOutcome> {
@@ -144,7 +144,7 @@
     const accepting = this._accepting.get(jobId)
     if (accepting !== undefined) await accepting
     const job = this._scheduler.jobs.get(jobId)
-    if (job === undefined) return this._knowsAllJobs ? 'unknownJob' : 'unavailable'
+    if (job === undefined) return this._hasAllJobs ? 'unknownJob' : 'unavailable'
     if (!job.isFinished) {
       job.phase = 'cancelled'
       job.finishedAtMs = this._context.clock.nowMs()
@@ -162,15 +162,15 @@
   }
 
   /**
-   * Whether a job that isn't here is nowhere. An owner that was frozen, or is cut off from the store, may have been replaced
-   * without knowing it, and the next one takes jobs: one would see a caller told that its accepted job doesn't exist, or
-   * that a job which goes on running is gone.
+   * Whether a job that this owner doesn't have certainly does not exist. An owner that was frozen, or is cut off from the store, may have
+   * been replaced without knowing it, and the next owner accepts jobs. Without this check, callers could be told that an accepted job does
+   * not exist, or that a running job is gone.
    */
-  private get _knowsAllJobs (): boolean {
+  private get _hasAllJobs (): boolean {
     return !this._isDisposed && this._context.ownership.isConfirmed
   }
 
-  /** For the state dump. */
+  /** Returns the state for the state dump. */
   public dump (): unknown {
     const hosts = [...this._scheduler.hosts.values()].map((host) => ({
       host: host.hostId, freeCpu: host.freeCpu, runs: host.attempts.size, listed: host.isListed, fenced: host.isFenced, stored: host.storedSequence
@@ -179,14 +179,14 @@
     return { fence: this._fence, jobs: this._scheduler.jobs.size, open: open.length, hosts }
   }
 
-  /** Values of the moment, for the metrics. */
+  /** Returns the current values for the metrics. */
   public gauges (): Readonly<Record<string, number>> {
     return this._scheduler.gauges()
   }
 
   public dispose (): void {
     this._isDisposed = true
-    this._noteDisposed()
+    this._resolveDisposed()
     this._disposables.dispose()
     this._hosts.dispose()
     this._scheduler.dispose()
@@ -198,31 +198,31 @@
     const jobStore = await this._jobStore
     const { jobId } = submission
     if (this._scheduler.jobs.has(jobId)) return { kind: 'accepted' }
-    // Before the configuration is read: from a store that is away, that takes longer than the gateway waits.
-    if (jobStore.isOut) return this._refuseWithoutStore(jobId, 'the store is away')
+    // Checked before the configuration is read: if the store is unavailable, the read takes longer than the gateway waits.
+    if (jobStore.isStoreUnavailable) return this._refuseWithoutStore(jobId, 'the store is away')
     if (!await config.catchUp(submission.configVersion)) {
       return this._refuseWithoutStore(jobId, 'the owner has an older configuration')
     }
     const queue = config.queue(submission.queue)
     if (queue === undefined) return { kind: 'noQueue' }
-    if (jobStore.isOut) return this._refuseWithoutStore(jobId, 'the store is away')
+    if (jobStore.isStoreUnavailable) return this._refuseWithoutStore(jobId, 'the store is away')
     const job = new Job(decodeJob(submission.record), termsOf(queue), clock.nowMs() - submission.ageMs)
-    const misfit = this._misfit(job)
-    if (misfit !== undefined) return this._refuse(jobId, misfit, NEVER_FITS_RETRY_MS)
+    const infeasibleReason = this._infeasibleReason(job)
+    if (infeasibleReason !== undefined) return this._refuse(jobId, infeasibleReason, INFEASIBLE_RETRY_AFTER_MS)
     const accepted = jobStore.accept(job)
     this._scheduler.consider(job)
     const outcome = await accepted
     if (outcome.kind !== 'stored') {
       this._scheduler.withdraw(job)
-      return this._notAccepted(jobId, outcome)
+      return this._answerNotAccepted(jobId, outcome)
     }
     this._scheduler.admit(job)
-    this._followQueue(job)
+    this._updateQueueTerms(job)
     log.info('job.accepted', { requestId: jobId, queue: queue.name, steps: job.steps.length, tasks: job.steps.reduce((sum, step) => sum + step.tasks.length, 0) })
     return { kind: 'accepted' }
   }
 
-  private _notAccepted (jobId: string, outcome: Exclude<AcceptOutcome, { kind: 'stored' }>): OwnerAnswer {
+  private _answerNotAccepted (jobId: string, outcome: Exclude<AcceptOutcome, { kind: 'stored' }>): OwnerAnswer {
     const { reason } = outcome
     if (outcome.kind === 'refused' && outcome.cause === 'storeAway') return this._refuseWithoutStore(jobId, reason)
     const kind = outcome.kind === 'refused' ? 'notOwner' : 'inDoubt'
@@ -235,15 +235,15 @@
     return { kind: 'refused', reason, retryAfterMs }
   }
 
-  /** An owner that reaches the store may take the job: the gateway looks for one. */
+  /** Refuses the job and tells the gateway to look for an owner that reaches the store. */
   private _refuseWithoutStore (jobId: string, reason: string): SubmitOutcome {
     return { ...this._refuse(jobId, reason, RETRY_AFTER_MS), isStoreAway: true }
   }
 
-  /** Why no host could ever run the job, if so. */
-  private _misfit (job: Job): string | undefined {
-    if (job.spec.occurrences > 0) return 'jobs on a schedule are not taken'
-    if (job.spec.steps.some((step) => step.fills)) return 'steps that fill up hosts are not taken'
+  /** Why no host could ever run the job; undefined if one could. */
+  private _infeasibleReason (job: Job): string | undefined {
+    if (job.spec.occurrences > 0) return 'recurring jobs are not supported'
+    if (job.spec.steps.some((step) => step.fills)) return 'steps that fill up hosts are not supported'
     const hosts = [...this._scheduler.hosts.values()].filter((host) => host.entry.service === job.queue.service)
     if (hosts.length === 0) return undefined
     const tooLarge = job.spec.steps.find((step) => !hosts.some((host) => host.couldHold(step)))
@@ -253,41 +253,41 @@
   private async _load (): Promise<JobStore> {
     const { clock, log, config, store, ownership, records } = this._context
     const startedAtMs = clock.nowMs()
-    this._disposables.add(clock.after(LOAD_LIMIT_MS, () => { if (this._store === undefined) this._giveUpLoading() }))
+    this._disposables.add(clock.after(LOAD_TIMEOUT_MS, () => { if (this._store === undefined) this._abandonLoading() }))
     const stored = await readStoredCell(this._context, records.hostsPrefix, () => !this._isDisposed)
-    const { laneRevisions, storeAnswerMs } = stored
-    const options = { ownerRevision: this._fence, writerId: this._options.writerId, laneRevisions, storeAnswerMs }
+    const { laneRevisions, storeLatencyMs } = stored
+    const options = { ownerRevision: this._fence, writerId: this._options.writerId, laneRevisions, storeLatencyMs }
     const jobStore = new JobStore(store, options, clock, log, (reason) => { if (!this._isDisposed) ownership.resign(reason) })
     this._store = jobStore
     if (this._isDisposed) {
       jobStore.dispose()
       return jobStore
     }
-    this._hosts.see(stored.hosts)
+    this._hosts.applyList(stored.hosts)
     restoreJobs(stored, this._scheduler, this._hosts, this._context)
     this._startTimers()
-    this._disposables.add(config.onChange(() => { this._followQueues() }))
-    this._disposables.add(ownership.onConfirmed(() => { jobStore.noteReached() }))
+    this._disposables.add(config.onChange(() => { this._updateAllQueueTerms() }))
+    this._disposables.add(ownership.onConfirmed(() => { jobStore.onStoreAnswered() }))
     const durationMs = Math.round(clock.nowMs() - startedAtMs)
     log.info('owner.ready', { revision: this._fence, jobs: stored.accepted.length, hosts: this._hosts.size, durationMs })
     return jobStore
   }
 
-  /** On a weak link reading everything may take so long that another process had better do it. */
-  private _giveUpLoading (): void {
+  /** Steps aside, because over a slow link the reading of all records may take so long that another process should own the cell. */
+  private _abandonLoading (): void {
     const { ownership, log } = this._context
-    ownership.stepAside('could not read the jobs in time')
+    ownership.stepAside('the jobs could not be read in time')
       .catch((error: unknown) => { log.error('owner.stepAsideFailed', { reason: String(error) }) })
   }
 
   private _startTimers (): void {
     const { clock } = this._context
     this._hosts.start()
-    this._disposables.add(clock.every(SWEEP_MS, () => { this._scheduler.sweep() }))
-    this._disposables.add(clock.every(COLLECT_MS, () => { this._collect() }))
+    this._disposables.add(clock.every(SWEEP_INTERVAL_MS, () => { this._scheduler.sweep() }))
+    this._disposables.add(clock.every(CLEANUP_INTERVAL_MS, () => { this._removeExpiredJobs() }))
   }
 
-  /** The next owner counts on it that no host is held for longer after this one's last confirmation. */
+  /** Limit of the leases on hosts. The next owner relies on it: this owner holds no lease beyond this time after its last confirmation. */
   private _holdUntilMs (confirmedAtMs: MonotonicMs): MonotonicMs {
     return confirmedAtMs + this._options.maxHoldMs + UNCONFIRMED_HOLD_MS
   }
@@ -295,24 +295,24 @@
   private _onFenced (hostId: string): void {
     if (this._isDisposed) return
     this._context.log.warn('owner.fenced', { host: hostId, revision: this._fence })
-    this._context.ownership.resign('a host takes orders of a newer owner')
+    this._context.ownership.resign('a host has accepted orders of a newer owner')
   }
 
-  /** Accepted jobs go on under what their queue says now; those of a dropped queue as they were accepted. */
-  private _followQueues (): void {
-    for (const job of this._scheduler.jobs.values()) this._followQueue(job)
+  /** Applies the current terms of each queue to its accepted jobs. Jobs of a removed queue keep the terms under which they were accepted. */
+  private _updateAllQueueTerms (): void {
+    for (const job of this._scheduler.jobs.values()) this._updateQueueTerms(job)
     this._requestPass()
   }
 
-  private _followQueue (job: Job): void {
+  private _updateQueueTerms (job: Job): void {
     const queue = job.isFinished ? undefined : this._context.config.queue(job.queue.name)
     if (queue !== undefined) job.queue = termsOf(queue)
   }
 
-  private _collect (): void {
-    const beforeMs = this._context.clock.nowMs() - this._options.statusMs - STATUS_SLACK_MS
+  private _removeExpiredJobs (): void {
+    const finishedBeforeMs = this._context.clock.nowMs() - this._options.statusMs - STATUS_SLACK_MS
     for (const [jobId, job] of this._scheduler.jobs) {
-      if (job.finishedAtMs === undefined || job.finishedAtMs > beforeMs || job.steps.some((step) => !step.isQuiet)) continue
+      if (job.finishedAtMs === undefined || job.finishedAtMs > finishedBeforeMs || job.steps.some((step) => !step.isQuiet)) continue
       this._scheduler.jobs.delete(jobId)
       this._store?.remove(jobId)
     }
@@ -321,12 +321,12 @@
   private _requestPass (): void {
     if (this._isPassDue || this._isDisposed) return
     this._isPassDue = true
-    this._context.clock.after(Math.max(PASS_DELAY_MS, this._lastPassMs * PASS_REST_FACTOR), () => {
+    this._context.clock.after(Math.max(MIN_PASS_DELAY_MS, this._lastPassMs * PASS_DELAY_FACTOR), () => {
       this._isPassDue = false
       if (this._isDisposed) return
-      const beganAtMs = this._context.clock.nowMs()
+      const passStartedAtMs = this._context.clock.nowMs()
       this._scheduler.pass()
-      this._lastPassMs = this._context.clock.nowMs() - beganAtMs
+      this._lastPassMs = this._context.clock.nowMs() - passStartedAtMs
     })
   }
 }
--- a/src/cell/ConfigFeed.test.ts
+++ b/src/cell/ConfigFeed.test.ts
@@ -1,5 +1,5 @@
 /**
- * The configuration of a process against a store whose answers are scripted.
+ * Reading and watching of the configuration, against a store with scripted answers.
  */
 
 import test from 'ava'
@@ -13,10 +13,10 @@
 
 const CONFIG_KEY = 'operator/config'
 const READ_AWAY = { kind: 'failed', reason: 'silent' } as const
-/** How long calls to a store that is away take to fail, in ms; a poll: beyond what the store was to wait. */
+/** How long a read takes to fail while the store is unavailable, in ms, and how long a poll takes beyond its wait. */
 const READ_SILENCE_MS = 1500
 const POLL_SILENCE_MS = 800
-/** A read that was made just before the store is back, and another one, in ms. */
+/** Time for a read that was sent just before the store is back, and for another one, in ms. */
 const SOON_MS = 1800
 
 class ScriptedStore {
@@ -46,7 +46,7 @@
     return { key: CONFIG_KEY, value: String(this.version), revision: this.version }
   }
 
-  /** A call that was made while the store was away is never answered. */
+  /** A call that was made while the store was unavailable is never answered. */
   private async _isUnanswered (silenceMs = READ_SILENCE_MS, isAway = this.isAway): Promise<boolean> {
     if (isAway) await this._after(silenceMs)
     return isAway
@@ -78,7 +78,7 @@
   }
 })
 
-test('a configuration is not current while the store is away, and is again with its first answer', async (t) => {
+test('a configuration is not current while the store is unavailable, and is current again after its first answer', async (t) => {
   const { clock, store, feed } = setUp()
   feed.start()
   await advance(clock, 100)
@@ -92,7 +92,7 @@
   t.is(feed.version, 2)
 })
 
-test('a process that is behind tells whether it has caught up', async (t) => {
+test('a process with an older configuration reports whether it has caught up', async (t) => {
   const { clock, store, feed } = setUp()
   store.version = 3
   t.true(await feed.catchUp(2))
@@ -102,8 +102,8 @@
   t.false(await outcome)
 })
 
-test('a change is in force soon after the store is back, whenever that is', async (t) => {
-  // A poll that waits for news is given up only after its wait: on the way back from an outage it cost two seconds.
+test('a change is in force soon after the store is back, for any duration of the outage', async (t) => {
+  // A poll that waits for changes fails only after its wait, which would delay the recovery from an outage by two seconds.
   for (let outageMs = 2500; outageMs < 12_000; outageMs += 150) {
     const { clock, store, feed } = setUp()
     feed.start()
--- a/src/cell/ConfigFeed.ts
+++ b/src/cell/ConfigFeed.ts
@@ -1,5 +1,5 @@
 /**
- * The operator's configuration in this process: the newest version that it has seen, and never an older one again.
+ * The operator's configuration as this process knows it: the newest version that it has read. An older version never replaces it.
  */
 
 import { Emitter } from '../common/Emitter.js'
@@ -9,12 +9,15 @@
 import type { ICellRecords } from './Types.js'
 import { WatchedPrefix } from './WatchedPrefix.js'
 
-/** How long a poll waits, in ms: a silent connection is noticed within this and a second more, and a change is due in 2.5 s. */
-const WATCH_WAIT_MS = 1200
+/**
+ * How long a poll waits in the store, in ms. A silent connection is noticed within this time and a second more, and a change has to be in
+ * force within 2.5 s.
+ */
+const POLL_WAIT_MS = 1200
 
 export class ConfigFeed implements IDisposable {
   private _config: ICellConfig | undefined
-  /** Queues by host name, longest prefix first. */
+  /** Queues by host name, those with the longest path prefix first. */
   private _queuesByHost = new Map<string, readonly IQueue[]>()
   private readonly _watch: WatchedPrefix
   private readonly _changeEmitter = new Emitter<ICellConfig>()
@@ -26,9 +29,9 @@
     clock: IClock & ITimers,
     private readonly _log: ILogger
   ) {
-    this._watch = new WatchedPrefix(_store, { prefix: _records.operatorPrefix, waitMs: WATCH_WAIT_MS }, {
-      onAll: (items) => { for (const item of items) this._take(item) },
-      onChange: (_key, item) => { if (item !== undefined) this._take(item) }
+    this._watch = new WatchedPrefix(_store, { prefix: _records.operatorPrefix, waitMs: POLL_WAIT_MS }, {
+      onAll: (items) => { for (const item of items) this._applyItem(item) },
+      onChange: (_key, item) => { if (item !== undefined) this._applyItem(item) }
     }, clock, _log)
   }
 
@@ -44,18 +47,18 @@
     return this._config?.version ?? -1
   }
 
-  /** How long ago the store last confirmed that there is no newer version, in ms. */
+  /** Time since the store last confirmed that there is no newer version, in ms. */
   public get ageMs (): number {
     return this._watch.ageMs
   }
 
-  /** Whether a version that this process doesn't have can only be very new. Otherwise nobody here can say which queues don't exist. */
+  /** Whether a version that this process doesn't have can only be very new. If not, this process can't tell that a queue does not exist. */
   public get isCurrent (): boolean {
     return this._watch.isCurrent
   }
 
-  /** The queue that a request belongs to: by host name and the longest prefix that its path begins with. */
-  public find (hostName: string, path: string): IQueue | undefined {
+  /** Returns the queue of a request: the one of its host name with the longest prefix of its path. */
+  public findQueue (hostName: string, path: string): IQueue | undefined {
     return this._queuesByHost.get(hostName)?.find((queue) => path.startsWith(queue.pathPrefix))
   }
 
@@ -63,12 +66,12 @@
     return this._config?.queues.find((queue) => queue.name === name)
   }
 
-  /** Reads once more if this process is behind a version that another one acts on; gives whether it has that version then. */
+  /** Reads the configuration again if this process has an older version than the given one. Resolves to whether it has that version afterwards. */
   public async catchUp (version: number): Promise<boolean> {
     if (this.version >= version) return true
     const read = await this._store.get(this._records.configKey)
     if (read.kind === 'failed') this._log.warn('config.notRead', { version: this.version, wanted: version, reason: read.reason })
-    else if (read.value !== undefined) this._take(read.value)
+    else if (read.value !== undefined) this._applyItem(read.value)
     return this.version >= version
   }
 
@@ -76,7 +79,7 @@
     this._watch.dispose()
   }
 
-  private _take (item: IMetadataItem): void {
+  private _applyItem (item: IMetadataItem): void {
     if (item.key !== this._records.configKey) return
     const config = this._records.decodeConfig(item.value)
     if (config === undefined) {
--- a/src/cell/Handover.test.ts
+++ b/src/cell/Handover.test.ts
@@ -1,5 +1,5 @@
 /**
- * A planned stop of the owner, over links whose answers are scripted.
+ * Planned stop of the owner, over links with scripted answers.
  */
 
 import test from 'ava'
@@ -17,7 +17,7 @@
 interface IPeer {
   readonly processId: string
   readonly isWilling: boolean
-  /** What it says once it has tried to take the cell; absent: nothing. */
+  /** Its answer to the request to take the cell over; no answer if undefined. */
   readonly takes?: boolean
 }
 
@@ -35,22 +35,22 @@
   const ownership = {
     isOwner,
     record: RECORD,
-    leave: () => { events.push('leaves') },
+    prepareToStop: () => { events.push('leaves') },
     release: async () => { events.push('releases') }
   }
   const done = handOver(hub as unknown as IPeerHub, ownership as unknown as Ownership, new SilentLogger())
   return { done, events }
 }
 
-test('the record is never given back where another process takes the cell', async (t) => {
-  // Given back, the cell would be without an owner until the others have seen that, and all callers would be refused.
+test('the record is not released if another process takes the cell over', async (t) => {
+  // After a release the cell would have no owner until the other processes have noticed it, and all callers would be refused.
   const { done, events } = setUp([{ processId: 'busy', isWilling: false }, { processId: 'next', isWilling: true, takes: true }])
   await done
   t.deepEqual(events, ['leaves', 'cellOffer busy', 'cellOffer next', 'cellTakeOver next'])
 })
 
-test('the record is given back where the next one can\'t take it, and where there is none', async (t) => {
-  // Kept, the cell would have an owner that is gone, until its lease ends.
+test('the record is released if the successor can\'t take the cell over, and if there is no successor', async (t) => {
+  // Otherwise the cell would belong to a process that has ended, until its lease ends.
   for (const peers of [[{ processId: 'next', isWilling: true, takes: false }], [{ processId: 'next', isWilling: true }], [{ processId: 'busy', isWilling: false }], []]) {
     const { done, events } = setUp(peers)
     await done
@@ -58,17 +58,17 @@
   }
 })
 
-test('a process that stops and isn\'t the owner asks nobody', async (t) => {
+test('a stopping process that isn\'t the owner sends no requests', async (t) => {
   const { done, events } = setUp([{ processId: 'next', isWilling: true, takes: true }], false)
   await done
   t.deepEqual(events, ['leaves'])
 })
 
-test('a process that the store has not answered of late does not offer to own the cell', async (t) => {
-  // Cut off from the store, it was named as the one that stands by, and could take nothing.
+test('a process that the store has not answered recently does not offer to own the cell', async (t) => {
+  // If such a process were named as the standby, it could not take the cell over.
   const handlers = new Map<string, () => Promise<{ readonly isWilling: boolean }>>()
   const hub = { handle: (name: string, handler: () => Promise<{ readonly isWilling: boolean }>) => { handlers.set(name, handler) } }
-  const ownership = { canTake: true, isCurrent: false, yieldMs: 0, peerUrl: '', reachesStore: async () => false }
+  const ownership = { canAcquire: true, isCurrent: false, yieldMs: 0, peerUrl: '', reachesStore: async () => false }
   answerOwnership(hub as unknown as IPeerHub, ownership as unknown as Ownership)
   t.is((await handlers.get('cellOffer')?.())?.isWilling, false)
   t.is((await handlers.get('cellRelief')?.())?.isWilling, false)
--- a/src/cell/Handover.ts
+++ b/src/cell/Handover.ts
@@ -1,9 +1,9 @@
 /**
- * A planned stop of the owner: another process takes the cell over while this one still serves it.
+ * Planned stop of the owner: another process takes the cell over while this one still serves it.
  *
- * Given back instead, the record is free until the others have seen that, waited for each other and made a lease: 150 ms, and
- * with a slow store 1.4 s and more, in which callers are refused. Handed over, the cell has an owner at each moment, and callers
- * wait only until the next one has read the jobs.
+ * If the owner released its record instead, the cell would have no owner until the other processes have noticed, waited for each other and
+ * created a lease. This takes 150 ms, or 1.4 s and more with a slow store, and callers are refused meanwhile. After a handover the cell has
+ * an owner at each moment, and callers wait only until the next owner has read the jobs.
  */
 
 import { chooseSuccessor } from '../common/cell/Successor.js'
@@ -17,32 +17,35 @@
 
 /** A process that doesn't answer within this time is not asked to take over, in ms: six round trips between regions. */
 const OFFER_TIMEOUT_MS = 250
-/** Taking over is two calls of the store, in ms: 0.7 s where it is 90 times as slow as usual. After that the record is given back. */
-const TAKE_TIMEOUT_MS = 1400
+/**
+ * A takeover takes two calls to the store: 0.7 s in total if the store is 90 times as slow as usual. After this timeout, in ms, the owner
+ * releases the record.
+ */
+const TAKEOVER_TIMEOUT_MS = 1400
 
-/** Answers peers about this process's own part in who owns the cell. */
+/** Registers the handlers of the peers' calls that concern who owns the cell. */
 export function answerOwnership (handlers: IPeerHandlers, ownership: Ownership): void {
   handlers.handle('cellReach', async () => ({ isReached: ownership.isOwner && await ownership.reachesStore() }))
   const offer = (isWilling: boolean): ICellOfferReply => ({ isWilling, yieldMs: ownership.yieldMs, peerUrl: ownership.peerUrl })
-  handlers.handle('cellOffer', async () => offer(ownership.canTake && ownership.isCurrent))
-  handlers.handle('cellRelief', async () => offer(ownership.canTake && await ownership.reachesStore()))
-  handlers.handle('cellTakeOver', async (owner) => ({ isOwner: await ownership.takeOverFrom(owner) }))
+  handlers.handle('cellOffer', async () => offer(ownership.canAcquire && ownership.isCurrent))
+  handlers.handle('cellRelief', async () => offer(ownership.canAcquire && await ownership.reachesStore()))
+  handlers.handle('cellTakeOver', async (owner) => ({ isOwner: await ownership.acceptHandover(owner) }))
 }
 
-/** Resolves when another process owns the cell, or the record has been given back. */
+/** Resolves when another process owns the cell, or the record has been released. */
 export async function handOver (hub: IPeerHub, ownership: Ownership, log: ILogger): Promise<void> {
-  ownership.leave()
+  ownership.prepareToStop()
   const { record } = ownership
   if (!ownership.isOwner || record === undefined) return
-  const offers = await Promise.all(hub.links().map(async (link) => await askOffer(link, record)))
+  const offers = await Promise.all(hub.links().map(async (link) => await requestOffer(link, record)))
   const successor = chooseSuccessor(offers)
-  const isTaken = successor !== undefined && await isTakenBy(hub.link(successor.processId), record)
+  const isTaken = successor !== undefined && await requestTakeover(hub.link(successor.processId), record)
   log.info('owner.handedOver', { successor: successor?.processId, isTaken, offers: offers.length, revision: record.revision })
   if (!isTaken) await ownership.release()
 }
 
-/** What a peer offers as the next owner; it isn't willing where it doesn't answer. */
-export async function askOffer (
+/** Asks a peer whether it is willing to be the next owner; a peer that doesn't answer isn't. */
+export async function requestOffer (
   link: IPeerLink, record: IOwnerRecord, ask: 'cellOffer' | 'cellRelief' = 'cellOffer', timeoutMs = OFFER_TIMEOUT_MS
 ): Promise<IOffer> {
   const { processId, incarnation } = link.peer
@@ -50,8 +53,8 @@
   return reply.isOk() ? { processId, incarnation, ...reply.value } : { processId, incarnation, peerUrl: '', isWilling: false, yieldMs: 0 }
 }
 
-/** Asks a process to take the cell over; gives whether it has. */
-export async function isTakenBy (link: IPeerLink | undefined, record: IOwnerRecord): Promise<boolean> {
-  const reply = await link?.call('cellTakeOver', record, TAKE_TIMEOUT_MS)
+/** Asks a process to take the cell over; resolves to whether it has done so. */
+export async function requestTakeover (link: IPeerLink | undefined, record: IOwnerRecord): Promise<boolean> {
+  const reply = await link?.call('cellTakeOver', record, TAKEOVER_TIMEOUT_MS)
   return reply?.isOk() === true && reply.value.isOwner
 }
--- a/src/cell/HostSession.ts
+++ b/src/cell/HostSession.ts
@@ -1,5 +1,5 @@
 /**
- * Looks at one host without a break, holds what runs there, and hears of each end as soon as it comes.
+ * Polls one host continuously: renews the owner's lease on it, and learns of ended runs immediately through long polls.
  */
 
 import type { HostState } from '../common/cell/HostState.js'
@@ -9,18 +9,18 @@
 
 export interface IHostSessionEffects {
   hold (host: IHostEntry, order: Omit<IHoldOrder, 'fence'>, signal: AbortSignal): Promise<HoldOutcome>
-  /** Until when the host may be held, by the monotonic clock: not longer than this owner can know that it is one. */
+  /** Until when the owner may hold a lease on the host, by the monotonic clock: no longer than it can be sure of its ownership. */
   holdUntilMs (): MonotonicMs
   onHeld (host: HostState, answer: Extract<HoldOutcome, { kind: 'held' }>['answer'], sentAtMs: MonotonicMs): void
   onFenced (host: HostState): void
-  /** The host does not answer; gives whether there is nothing left to wait for. */
-  onSilent (host: HostState): boolean
+  /** The host does not answer. Returns whether nothing can run on it any more. */
+  onFailure (host: HostState): boolean
 }
 
-/** How long a host may wait for an end before it answers, in ms. Bounds the age of what is known of progress. */
-const WAIT_MS = 1000
-const RETRY_MS = 200
-/** Failed looks in a row are logged once when they begin. */
+/** How long a host may wait for a run to end before it answers, in ms. Bounds the age of the known progress. */
+const POLL_WAIT_MS = 1000
+const RETRY_DELAY_MS = 200
+/** A series of failed polls is logged once, when it reaches this length. */
 const FAILURES_TO_LOG = 3
 
 export class HostSession implements IDisposable {
@@ -46,37 +46,37 @@
   private async _run (): Promise<void> {
     while (!this._abort.signal.aborted) {
       const sentAtMs = this._clock.nowMs()
-      const outcome = await this._effects.hold(this.host.entry, this._order(sentAtMs), this._abort.signal)
+      const outcome = await this._effects.hold(this.host.entry, this._createHoldOrder(sentAtMs), this._abort.signal)
       if (this._abort.signal.aborted) return
       if (outcome.kind === 'held') {
-        this._noteAnswered()
+        this._recordAnswer()
         this._effects.onHeld(this.host, outcome.answer, sentAtMs)
-        await this._endsStored()
+        await this._awaitEndsStored()
         continue
       }
       if (outcome.kind === 'fenced') this._effects.onFenced(this.host)
-      this._noteFailed(outcome)
-      if (this._effects.onSilent(this.host) && !this.host.isListed) return
+      this._recordFailure(outcome)
+      if (this._effects.onFailure(this.host) && !this.host.isListed) return
       await this._pause()
     }
   }
 
-  private _order (nowMs: MonotonicMs): Omit<IHoldOrder, 'fence'> {
+  private _createHoldOrder (nowMs: MonotonicMs): Omit<IHoldOrder, 'fence'> {
     const { host } = this
     const acknowledgedSequence = host.storedSequence
-    // The first look only tells the time there.
+    // The first poll only reads the host's clock.
     if (!host.hasClock) return { acknowledgedSequence, deadlineMs: undefined, waitMs: 0 }
     const deadlineMs = host.nextDeadline(nowMs, this._maxHoldMs, this._effects.holdUntilMs())
-    // A host that was silent is held as soon as it answers, without a wait.
-    return { acknowledgedSequence, deadlineMs, waitMs: host.isInContact(nowMs) ? WAIT_MS : 0 }
+    // A host that was silent answers at once, so that its lease is renewed without delay.
+    return { acknowledgedSequence, deadlineMs, waitMs: host.isInContact(nowMs) ? POLL_WAIT_MS : 0 }
   }
 
-  private _noteAnswered (): void {
+  private _recordAnswer (): void {
     if (this._failures >= FAILURES_TO_LOG) this._log.info('host.regained', { host: this.host.hostId })
     this._failures = 0
   }
 
-  private _noteFailed (outcome: HoldOutcome): void {
+  private _recordFailure (outcome: HoldOutcome): void {
     this._failures += 1
     if (this._failures !== FAILURES_TO_LOG) return
     const reason = outcome.kind === 'failed' ? outcome.reason : outcome.kind
@@ -84,18 +84,18 @@
   }
 
   /**
-   * Waits until the host may be told to forget the ends it listed, for a moment at most.
+   * Waits until the ends that the host listed are stored and can be acknowledged, but not longer than the retry delay.
    *
-   * A host answers at once as long as it has ends that weren't seen. Asked again before they are stored, it would be asked
-   * hundreds of times a second while the store is slow or away.
+   * A host answers at once as long as it has unacknowledged ends. Without this wait it would be polled hundreds of times a second while the
+   * store is slow or unavailable.
    */
-  private async _endsStored (): Promise<void> {
+  private async _awaitEndsStored (): Promise<void> {
     const { host } = this
     if (host.storedSequence >= host.appliedSequence) return
     await Promise.race([host.endsStored, this._pause()])
   }
 
   private async _pause (): Promise<void> {
-    await new Promise<void>((resolve) => { this._clock.after(RETRY_MS, resolve) })
+    await new Promise<void>((resolve) => { this._clock.after(RETRY_DELAY_MS, resolve) })
   }
 }
--- a/src/cell/HostSessions.test.ts
+++ b/src/cell/HostSessions.test.ts
@@ -1,5 +1,5 @@
 /**
- * The list of hosts as an owner sees it.
+ * The list of hosts as an owner reads it.
  */
 
 import test from 'ava'
@@ -12,14 +12,14 @@
 import type { IHostSessionsContext } from './HostSessions.js'
 
 const HOST_ID = 'h'
-const ENOUGH_MS = 1500
+const TWO_POLLS_MS = 1500
 
 function rangeOf (state: 'ready' | 'draining', revision: number): ReadOutcome<IMetadataRange> {
   return { kind: 'read', value: { items: [{ key: HOST_ID, value: state, revision }], revision } }
 }
 
-test('a list that was overtaken on its way does not undo a newer one', async (t) => {
-  // A host that was draining counted as ready again, and was given new runs.
+test('a list that was overtaken by a newer one is ignored', async (t) => {
+  // Otherwise a draining host would be considered ready again, and would be given new runs.
   const clock = new ManualClock()
   const answers: ((outcome: ReadOutcome<IMetadataRange>) => void)[] = []
   const hosts = new Map<string, { entry: IHostEntry, isListed: boolean, attempts: ReadonlySet<never> }>()
@@ -43,7 +43,7 @@
   } as unknown as IHostSessionsContext, 1, 6000)
   t.teardown(() => { sessions.dispose() })
   sessions.start()
-  await advance(clock, ENOUGH_MS)
+  await advance(clock, TWO_POLLS_MS)
   const [first, second] = answers
   second?.(rangeOf('draining', 2))
   await advance(clock, 1)
--- a/src/cell/HostSessions.ts
+++ b/src/cell/HostSessions.ts
@@ -1,5 +1,5 @@
 /**
- * The hosts of the cell as the store lists them, each with a session while its owner needs one.
+ * The hosts of the cell as the store lists them, with one session for each.
  */
 
 import { HostSession } from './HostSession.js'
@@ -18,20 +18,20 @@
   readonly scheduler: CellScheduler
   readonly clock: IClock & ITimers
   readonly log: ILogger
-  /** Until when a host may be held, by the monotonic clock. */
+  /** Until when the owner may hold leases on hosts, by the monotonic clock. */
   holdUntilMs (): MonotonicMs
-  /** The host takes orders of a newer owner only. */
+  /** The host only accepts orders of a newer owner. */
   onFenced (hostId: string): void
   requestPass (): void
 }
 
-const POLL_MS = 600
+const POLL_INTERVAL_MS = 600
 
 export class HostSessions implements IDisposable {
   private readonly _sessions = new Map<string, HostSession>()
   private _polling: IDisposable | undefined
-  /** Of the newest list that was taken. */
-  private _revision = 0
+  /** Revision of the newest list that was applied. */
+  private _listRevision = 0
   private _isDisposed = false
 
   public constructor (
@@ -42,9 +42,9 @@
     return this._sessions.size
   }
 
-  /** Looks at the list from now on. */
+  /** Starts to poll the list. */
   public start (): void {
-    this._polling = this._context.clock.every(POLL_MS, () => { this._poll() })
+    this._polling = this._context.clock.every(POLL_INTERVAL_MS, () => { this._poll() })
   }
 
   public dispose (): void {
@@ -54,17 +54,17 @@
     this._sessions.clear()
   }
 
-  /** Takes the list as it was read. */
-  public see (items: readonly IMetadataItem[]): void {
+  /** Applies the list of hosts as it was read from the store. */
+  public applyList (items: readonly IMetadataItem[]): void {
     const { records, scheduler, log } = this._context
     const listed = new Set<string>()
     for (const item of items) {
       const entry = records.decodeHostEntry(item)
       if (entry === undefined) continue
       listed.add(entry.hostId)
-      if (this._isNews(entry)) this._logHost(entry)
+      if (this._isWorthLogging(entry)) this._logHost(entry)
       scheduler.addHost(entry).isListed = true
-      if (!this._sessions.has(entry.hostId)) this._open(entry.hostId)
+      if (!this._sessions.has(entry.hostId)) this._openSession(entry.hostId)
     }
     for (const host of scheduler.hosts.values()) {
       if (host.isListed && !listed.has(host.hostId)) {
@@ -75,8 +75,8 @@
     this._context.requestPass()
   }
 
-  /** A host that a run was recorded on; one that isn't listed any more may still run it until its lease has ended. */
-  public hostOf (hostId: string, bornMs: EpochMs): HostState {
+  /** Returns a host on which a run is recorded, and adds it if it isn't listed any more: it may go on with the run until its lease has ended. */
+  public getOrAddHost (hostId: string, bornMs: EpochMs): HostState {
     const { scheduler } = this._context
     const known = scheduler.hosts.get(hostId)
     if (known !== undefined) return known
@@ -91,20 +91,23 @@
     const { store, records, log } = this._context
     store.range(records.hostsPrefix).then((read) => {
       if (this._isDisposed) return
-      if (read.kind === 'read') this._take(read.value)
-      this._forgetLapsed()
+      if (read.kind === 'read') this._applyIfNewer(read.value)
+      this._removeLapsedHosts()
     }, (error: unknown) => { log.error('hosts.pollFailed', { reason: String(error) }) })
   }
 
-  /** Looks overlap where the store is slow, and answers overtake each other. */
-  private _take ({ items, revision }: IMetadataRange): void {
-    if (revision < this._revision) return
-    this._revision = revision
-    this.see(items)
+  /** Ignores a list that a newer one has overtaken: polls overlap while the store is slow. */
+  private _applyIfNewer ({ items, revision }: IMetadataRange): void {
+    if (revision < this._listRevision) return
+    this._listRevision = revision
+    this.applyList(items)
   }
 
-  /** A new owner's first look would fill the log with hosts that it finds as they should be, just when it has most to do. */
-  private _isNews (entry: IHostEntry): boolean {
+  /**
+   * Whether the host is new or has changed. Of the list that a new owner reads first, only draining hosts are logged, because the others
+   * would fill the log while the owner is busiest.
+   */
+  private _isWorthLogging (entry: IHostEntry): boolean {
     const known = this._context.scheduler.hosts.get(entry.hostId)
     if (known === undefined) return entry.draining || this._polling !== undefined
     return known.entry.draining !== entry.draining || known.bornMs !== entry.bornMs
@@ -114,7 +117,7 @@
     this._context.log.info('host.seen', { host: hostId, draining, bornMs, service })
   }
 
-  private _open (hostId: string): void {
+  private _openSession (hostId: string): void {
     const { clock, log, orders, scheduler } = this._context
     const host = scheduler.hosts.get(hostId)
     if (host === undefined) return
@@ -123,14 +126,14 @@
       holdUntilMs: () => this._context.holdUntilMs(),
       onHeld: (held, answer, sentAtMs) => { if (!this._isDisposed) scheduler.readHold(held, answer, sentAtMs) },
       onFenced: (held) => { this._context.onFenced(held.hostId) },
-      onSilent: (silent) => scheduler.noteSilence(silent)
+      onFailure: (silent) => scheduler.noteSilence(silent)
     }, this._maxHoldMs, clock, log)
     this._sessions.set(hostId, session)
     session.start()
   }
 
-  /** Hosts that are neither listed nor answer, once nothing can run there any more. */
-  private _forgetLapsed (): void {
+  /** Removes hosts that are neither listed nor answer, once nothing can run on them any more. */
+  private _removeLapsedHosts (): void {
     const { scheduler, orders, log } = this._context
     for (const host of [...scheduler.hosts.values()]) {
       if (host.isListed || !scheduler.noteSilence(host)) continue
--- a/src/cell/JobStore.test.ts
+++ b/src/cell/JobStore.test.ts
@@ -1,5 +1,5 @@
 /**
- * Jobs on their way to a store whose answers take as long as the test says.
+ * Writes of jobs to a store whose latency the test sets.
  */
 
 import test from 'ava'
@@ -25,7 +25,7 @@
     revision += 1
     return { kind: 'committed', revision }
   }
-  const options = { ownerRevision: 5, writerId: 'me', laneRevisions: new Map<string, number>(), storeAnswerMs: answerMs }
+  const options = { ownerRevision: 5, writerId: 'me', laneRevisions: new Map<string, number>(), storeLatencyMs: answerMs }
   const store = new JobStore({ commit } as unknown as IMetadataStore, options, clock, new SilentLogger(), () => {})
   const run = async (ms: number): Promise<void> => {
     for (let passedMs = 0; passedMs < ms; passedMs += 5) {
@@ -61,7 +61,7 @@
 })
 
 test('writes of one job never overtake each other', async (t) => {
-  // Old progress over newer made the next owner start tasks that were done.
+  // If older progress overwrote newer progress, the next owner would start tasks that are done.
   const { store, run, job, transactions } = setUp(300)
   const written = job()
   store.accept(written).catch(() => {})
@@ -79,7 +79,7 @@
 })
 
 test('a burst of urgent jobs is accepted within one answer of a store that has become slow', async (t) => {
-  // Each write that found no room in a transaction waited for one more answer, and urgent jobs were late beside free hosts.
+  // A write that does not fit into a transaction waits for one more answer, and urgent jobs would be late although hosts are free.
   const answerMs = 300
   const { clock, store, run, job } = setUp(answerMs)
   const waitsMs: number[] = []
@@ -101,5 +101,5 @@
   await run(3000)
   t.is(waitsMs.length, 400)
   waitsMs.sort((a, b) => a - b)
-  t.true((waitsMs[380] ?? Infinity) <= 1.5 * answerMs, `of 400 jobs 20 waited for more than ${waitsMs[380]} ms`)
+  t.true((waitsMs[380] ?? Infinity) <= 1.5 * answerMs, `20 of 400 jobs waited for at least ${waitsMs[380]} ms`)
 })
--- a/src/cell/JobStore.ts
+++ b/src/cell/JobStore.ts
@@ -1,6 +1,6 @@
 /**
- * The jobs in the store: accepted, with progress, and removed when nobody may ask for them any more. Spreads them over
- * lanes by id, so that a slow store has several transactions on the way.
+ * Persistence of jobs: stores accepted jobs and their progress, and removes jobs that callers can no longer ask for. Jobs are spread over
+ * lanes, so that several transactions can be in flight to a slow store.
  */
 
 import type { ILogger } from '../common/observability/Types.js'
@@ -16,59 +16,59 @@
 import type { RefusalCause } from './BatchCommit.js'
 
 /**
- * Transactions on the way at once at most. With few, a burst of urgent jobs makes more records than a slow store takes, and each waits for its
- * turn longer than it runs.
+ * Number of lanes, which bounds the transactions in flight. With few lanes, a burst of urgent jobs creates more records than a slow store
+ * accepts, and each record waits longer for its transaction than the transaction takes.
  */
 export const LANE_COUNT = 12
 /**
- * Records that wait in a lane before the next one is used as well. One lane alone makes the fewest and fullest transactions, which is enough
- * for a store in the same region; to one in another a burst needs several.
+ * Number of records that wait in a lane before the next lane is used as well. A single lane makes the fewest and fullest transactions,
+ * which is enough for a store in the same region. With a store in another region, a burst needs several lanes.
  */
 const FULL_LANE_RECORDS = 14
 /**
- * With a store that takes longer than this, in ms, what is written goes to the lane that goes out next: behind a transaction that was just sent,
- * an urgent job would wait for two answers instead of one.
+ * If the store takes longer than this, in ms, records go to the lane that sends next. Behind a transaction that was just sent, an urgent
+ * job would wait for two answers instead of one.
  */
 const SLOW_ANSWER_MS = 30
 
 export type AcceptOutcome =
   | { readonly kind: 'stored' }
-  /** It is certain that the store hasn't got it and never will. */
+  /** The job is certainly not stored and never will be. */
   | { readonly kind: 'refused', readonly reason: string, readonly cause: RefusalCause }
   | { readonly kind: 'unknown', readonly reason: string }
 
-/** Where a job is written, and how many of its writes aren't settled. */
+/** The lane of a job, and the number of its writes that aren't settled. */
 interface IPendingJob {
   readonly lane: StoreLane
   count: number
 }
 
 export interface IJobStoreOptions {
-  /** The revision of the ownership record under which all is written. */
+  /** The revision of the ownership record, which all writes expect. */
   readonly ownerRevision: number
   readonly writerId: string
-  /** The lanes' records as they were read. */
+  /** Revisions of the lanes' records, by key. */
   readonly laneRevisions: ReadonlyMap<string, number>
-  /** How long the store took to answer just now, in ms. */
-  readonly storeAnswerMs: number
+  /** How long the store took to answer the last read, in ms. */
+  readonly storeLatencyMs: number
 }
 
 export class JobStore {
   private readonly _lanes: readonly StoreLane[]
-  /** The lanes of jobs with writes that aren't settled. */
+  /** Jobs with unsettled writes, by job id. */
   private readonly _pending = new Map<string, IPendingJob>()
   private readonly _latency: StoreLatency
-  /** Jobs whose outcome alone is kept. */
-  private readonly _shortened = new Set<string>()
+  /** Ids of jobs of which only the outcome is stored. */
+  private readonly _jobsWithoutDescription = new Set<string>()
 
   public constructor (
     store: IMetadataStore,
-    { ownerRevision, writerId, laneRevisions, storeAnswerMs }: IJobStoreOptions,
+    { ownerRevision, writerId, laneRevisions, storeLatencyMs }: IJobStoreOptions,
     private readonly _clock: IClock & ITimers,
     private readonly _log: ILogger,
     onOwnershipLost: (reason: string) => void
   ) {
-    this._latency = new StoreLatency(storeAnswerMs)
+    this._latency = new StoreLatency(storeLatencyMs)
     this._lanes = Array.from({ length: LANE_COUNT }, (_, lane) => {
       const key = laneKey(lane)
       const options = { laneKey: key, laneRevision: laneRevisions.get(key) ?? 0, ownerRevision, writerId }
@@ -76,16 +76,16 @@
     })
   }
 
-  public get isOut (): boolean {
-    return this._lanes.some((lane) => lane.isOut)
+  public get isStoreUnavailable (): boolean {
+    return this._lanes.some((lane) => lane.isStoreUnavailable)
   }
 
-  /** The store has just answered this process. */
-  public noteReached (): void {
-    for (const lane of this._lanes) lane.noteReached()
+  /** To be called when the store has answered this process. */
+  public onStoreAnswered (): void {
+    for (const lane of this._lanes) lane.onStoreAnswered()
   }
 
-  /** Keeps a new job. */
+  /** Stores a new job. */
   public async accept (job: Job): Promise<AcceptOutcome> {
     const { jobId } = job.spec
     const receivedAtWallMs = this._clock.wallMs() - (this._clock.nowMs() - job.receivedAtMs)
@@ -96,7 +96,7 @@
         onStored: () => { resolve({ kind: 'stored' }) },
         refusal: {
           onRefused: (reason, cause) => {
-            // At once: the next transaction must not carry a run of a job that isn't there.
+            // Set synchronously: the next transaction must not record a run of a job that isn't stored.
             job.acceptance = 'withdrawn'
             resolve({ kind: 'refused', reason, cause })
           },
@@ -106,7 +106,7 @@
     })
   }
 
-  /** Resolves once the store has the job as it is now, or newer. */
+  /** Resolves once the store has the current state of the job, or a newer one. */
   public async save (job: Job): Promise<void> {
     const { jobId } = job.spec
     let { phase } = job
@@ -120,20 +120,20 @@
           return encodeProgress(job)
         },
         alsoRemoves: () => {
-          removesDescription = this._isOutcomeAll(job)
+          removesDescription = this._canRemoveDescription(job)
           return removesDescription ? jobKey(jobId) : undefined
         },
         onStored: () => {
           if (job.acceptance === 'withdrawn') return resolve()
-          if (removesDescription) this._shortened.add(jobId)
-          if (phase !== 'queued') this._noteStoredPhase(job, phase)
+          if (removesDescription) this._jobsWithoutDescription.add(jobId)
+          if (phase !== 'queued') this._recordStoredPhase(job, phase)
           resolve()
         }
       })
     })
   }
 
-  private _noteStoredPhase (job: Job, phase: JobPhase): void {
+  private _recordStoredPhase (job: Job, phase: JobPhase): void {
     if (job.isFinished && job.storedPhase !== phase) {
       const ageMs = Math.round(this._clock.nowMs() - job.receivedAtMs)
       const objectiveMs = Math.round(job.dueMs - job.receivedAtMs)
@@ -143,18 +143,18 @@
   }
 
   /**
-   * Of a finished job that runs nowhere, only its outcome is kept, from the transaction on that stores the outcome. The next owner reads all
-   * records before it serves anybody, and most of them are of finished jobs.
+   * Whether the job has finished and runs nowhere. Then only its outcome is kept, from the transaction that stores the outcome. The next
+   * owner reads all records before it serves requests, and most of them belong to finished jobs.
    */
-  private _isOutcomeAll (job: Job): boolean {
-    return job.acceptance === 'stored' && job.isFinished && !this._shortened.has(job.spec.jobId) && job.steps.every((step) => step.isQuiet)
+  private _canRemoveDescription (job: Job): boolean {
+    return job.acceptance === 'stored' && job.isFinished && !this._jobsWithoutDescription.has(job.spec.jobId) && job.steps.every((step) => step.isQuiet)
   }
 
   public remove (jobId: string): void {
     for (const key of [jobKey(jobId), progressKey(jobId)]) {
       this._write(jobId, { key, value: () => undefined, onStored: () => {} })
     }
-    this._shortened.delete(jobId)
+    this._jobsWithoutDescription.delete(jobId)
   }
 
   public dispose (): void {
@@ -162,14 +162,14 @@
   }
 
   /**
-   * A job stays in its lane until all that was written of it is settled: two lanes may overtake each other. Also a job that was refused: what
-   * is left to write of it has to come before the writes of its next try.
+   * Writes a record of a job in the job's lane. A job stays in its lane until all its writes are settled, since lanes can overtake each
+   * other. This also applies to a refused job: its remaining writes have to precede those of its next submission.
    */
   private _write (jobId: string, write: ILaneWrite): void {
     const pending = this._pending.get(jobId) ?? { lane: this._chooseLane(), count: 0 }
     this._pending.set(jobId, pending)
     pending.count += 1
-    const settled = (): void => {
+    const markSettled = (): void => {
       pending.count -= 1
       if (pending.count === 0) this._pending.delete(jobId)
     }
@@ -177,7 +177,7 @@
     pending.lane.write({
       ...write,
       onStored: () => {
-        settled()
+        markSettled()
         write.onStored()
       },
       ...(refusal === undefined
@@ -185,11 +185,11 @@
         : {
             refusal: {
               onRefused: (reason, cause) => {
-                settled()
+                markSettled()
                 refusal.onRefused(reason, cause)
               },
               onUnknown: (reason) => {
-                settled()
+                markSettled()
                 refusal.onUnknown(reason)
               }
             }
--- a/src/cell/Keys.ts
+++ b/src/cell/Keys.ts
@@ -3,12 +3,12 @@
  */
 
 export const CONTROL_PREFIX = 'jd/control/'
-/** Who owns the cell; under its owner's lease. */
+/** The ownership record: names the owner of the cell, and ends with its owner's lease. */
 export const OWNER_KEY = `${CONTROL_PREFIX}owner`
-/** The secret that the cell's processes prove to each other. */
+/** The secret with which the cell's processes authenticate to each other. */
 export const LINK_SECRET_KEY = `${CONTROL_PREFIX}link-secret`
 
-/** Where each process can be reached; without a lease, so that an owner finds also those that can't reach the store. */
+/** Where each process can be reached. These records have no lease, so that an owner also finds processes that can't reach the store. */
 export const MEMBER_PREFIX = 'jd/member/'
 
 const JOB_PREFIX = 'jd/job/'
--- a/src/cell/MemberCalls.ts
+++ b/src/cell/MemberCalls.ts
@@ -1,8 +1,9 @@
 /**
- * Lets gateways that can't reach the store hear of a new owner: it looks up where all processes are, dials them, and tells them.
+ * Announces a new owner to gateways that can't reach the store: the owner reads the addresses of all processes, dials those without a link,
+ * and sends them its record.
  *
- * A store that turns some machines away would otherwise leave their gateways with the link to the last owner: one would see them
- * refuse all callers for as long as that lasts, beside an owner that they could reach.
+ * If the store refuses some machines, their gateways would otherwise keep the link to the previous owner, and refuse all callers for as
+ * long as that lasts, although they could reach the new owner.
  */
 
 import type { IMetadataStore } from '../common/cell/Types.js'
@@ -16,23 +17,23 @@
   readonly peerUrl: string
 }
 
-/** Most processes hear of a new owner from the store and dial it; those that haven't by then are dialled, in ms. */
-const DIAL_AFTER_MS = 250
-/** A process that can't be reached for so long is gone, or hears of the owner by itself when it is back, in ms. */
-const DIAL_FOR_MS = 8000
+/** Most processes learn of a new owner from the store and dial it. The owner dials the others after this time, in ms. */
+const DIAL_DELAY_MS = 250
+/** A process that can't be reached for this long, in ms, is gone, or learns of the owner by itself when it is back. */
+const DIAL_DURATION_MS = 8000
 const COMMIT_TIMEOUT_MS = 1500
-const RETRY_MS = 1000
+const RETRY_DELAY_MS = 1000
 
-/** Writes where this process can be reached, until it is stored. */
+/** Stores where this process can be reached, and retries until it is stored. */
 export function registerMember (store: IMetadataStore, hub: IPeerHub, peerUrl: string, timers: ITimers, log: ILogger): void {
   const key = MEMBER_PREFIX + hub.self.processId
   const value = JSON.stringify({ peerUrl } satisfies IMemberRecord)
   store.commit({ expect: [], puts: [{ key, value }], removes: [] }, COMMIT_TIMEOUT_MS).then((outcome) => {
-    if (outcome.kind !== 'committed') timers.after(RETRY_MS, () => { registerMember(store, hub, peerUrl, timers, log) })
+    if (outcome.kind !== 'committed') timers.after(RETRY_DELAY_MS, () => { registerMember(store, hub, peerUrl, timers, log) })
   }, (error: unknown) => { log.error('member.registerFailed', { reason: String(error) }) })
 }
 
-/** While this process owns the cell: tells each peer that links up, and dials those that don't. */
+/** While this process owns the cell: sends its record to each peer that links up, and dials those that don't. */
 export class MemberCalls implements IDisposable {
   private readonly _disposables: IDisposable[] = []
 
@@ -45,7 +46,7 @@
   ) {
     for (const link of _hub.links()) link.cast('cellOwner', _record)
     this._disposables.push(_hub.onLink((link) => { link.cast('cellOwner', _record) }))
-    this._disposables.push(_timers.after(DIAL_AFTER_MS, () => { this._dialOthers() }))
+    this._disposables.push(_timers.after(DIAL_DELAY_MS, () => { this._dialOthers() }))
   }
 
   public dispose (): void {
@@ -61,7 +62,7 @@
       this._log.info('owner.dials', { revision: this._record.revision, members: members.length, missing: missing.length })
       const dials = missing.map(({ processId, peerUrl }) => this._hub.dial(peerUrl, processId))
       const dispose = (): void => { for (const dial of dials) dial.dispose() }
-      this._disposables.push({ dispose }, this._timers.after(DIAL_FOR_MS, dispose))
+      this._disposables.push({ dispose }, this._timers.after(DIAL_DURATION_MS, dispose))
     }, (error: unknown) => { this._log.error('owner.dialFailed', { reason: String(error) }) })
   }
 }
--- a/src/cell/OwnerCalls.ts
+++ b/src/cell/OwnerCalls.ts
@@ -1,5 +1,5 @@
 /**
- * What this process answers its peers: as the owner of the cell, and as a machine that asks for advice.
+ * Handlers for calls of peers to this process: as the owner of the cell, and as a machine that asks for advice.
  */
 
 import type { IAdviser, OwnerAnswer } from '../common/cell/Types.js'
@@ -8,18 +8,18 @@
 import type { IPeerHandlers } from '../peer/Types.js'
 import type { ILocalOwner } from './OwnerRoute.js'
 
-/** Registers the handlers; `owner` gives the owner as long as this process is it. */
+/** Registers the handlers; `owner` returns the owner while it is this process. */
 export function answerPeers (hub: IPeerHandlers, owner: () => ILocalOwner | undefined, adviser: IAdviser): void {
   hub.handle('cellSubmit', async (ask) => {
-    return replyOf(await (await readyOwner(owner, 'cellSubmit')).submit(ask))
+    return toSubmitReply(await (await awaitReadyOwner(owner, 'cellSubmit')).submit(ask))
   })
   hub.handle('cellState', async ({ jobId }) => {
-    const outcome = await (await readyOwner(owner, 'cellState')).state(jobId)
+    const outcome = await (await awaitReadyOwner(owner, 'cellState')).state(jobId)
     return outcome.kind === 'known' ? { kind: outcome.kind, phase: outcome.phase } : { kind: outcome.kind }
   })
-  hub.handle('cellCancel', async ({ jobId }) => ({ result: await (await readyOwner(owner, 'cellCancel')).cancel(jobId) }))
+  hub.handle('cellCancel', async ({ jobId }) => ({ result: await (await awaitReadyOwner(owner, 'cellCancel')).cancel(jobId) }))
   hub.handle('cellWaiting', async ({ queue }) => {
-    const count = await (await readyOwner(owner, 'cellWaiting')).waiting(queue)
+    const count = await (await awaitReadyOwner(owner, 'cellWaiting')).waiting(queue)
     return count === undefined ? {} : { count }
   })
   hub.handle('cellAdvise', async ({ timeoutMs, ...ask }) => {
@@ -28,14 +28,14 @@
   })
 }
 
-async function readyOwner (owner: () => ILocalOwner | undefined, step: string): Promise<ILocalOwner> {
+async function awaitReadyOwner (owner: () => ILocalOwner | undefined, step: string): Promise<ILocalOwner> {
   const local = owner()
   if (local === undefined) throw new UnreachableError(step, 'owner', 'this process is not the owner')
   await local.ready
   return local
 }
 
-function replyOf (outcome: OwnerAnswer): ICellSubmitReply {
+function toSubmitReply (outcome: OwnerAnswer): ICellSubmitReply {
   switch (outcome.kind) {
     case 'refused': return outcome
     case 'invalid': case 'inDoubt': case 'notOwner': return { kind: outcome.kind, reason: outcome.reason }
--- a/src/cell/OwnerChallenge.ts
+++ b/src/cell/OwnerChallenge.ts
@@ -1,9 +1,9 @@
 /**
- * Takes the cell from an owner that can't reach the store, if this process can and the owner really can't.
+ * Takes the cell over from an owner that can't reach the store, after a check that this process can reach it and that the owner still can't.
  *
- * Such an owner loses its lease anyway, a second later. Until then it can take no job, and its callers would be told to come
- * back although any other process could serve them. But when the store has been away for all, it comes back for all: taken from an owner
- * that is well, the cell would be without one just when all callers return.
+ * Such an owner loses its lease a second later in any case. Until then it can accept no job, and its callers would be told to retry
+ * although any other process could serve them. But a store that was unavailable for all processes comes back for all: if the cell were
+ * taken from a working owner, it would have no owner just when all callers return.
  */
 
 import type { ILogger } from '../common/observability/Types.js'
@@ -11,25 +11,25 @@
 import type { Ownership } from './Ownership.js'
 import type { IOwnerRecord } from './Types.js'
 
-/** What became of a challenge: the owner is left alone where it reaches the store, and where nobody does. */
+/** Outcome of a challenge: the owner keeps the cell if it reaches the store, and if neither process does. */
 export type ChallengeOutcome = 'takesOver' | 'ownerIsWell' | 'bothAway'
 
-/** What was found holds for all callers of this long, in ms. */
-const REST_MS = 500
+/** How long the result of a comparison is used for all callers, in ms. */
+const RESULT_VALID_MS = 500
 /**
- * While the store is away for both, callers are refused at once by what was found last, for this long in ms, and the next look goes on
- * behind them: two looks. Each caller that waits for a look is held for 0.3 s of the three that it has.
+ * While the store is unavailable for both processes, callers are refused at once by the last result, for this long in ms, and the next
+ * comparison runs in the background: twice the duration of a comparison. A caller that waits for a comparison is held for 0.3 s of its 3 s.
  */
-const AWAY_MS = 1000
-/** What was found so long ago is asked again before the cell is taken, in ms. */
-const STALE_FINDING_MS = 200
-/** A takeover begins after a random part of this, in ms, so that one of the processes is clearly first. */
-const TAKE_JITTER_MS = 120
+const BOTH_AWAY_VALID_MS = 1000
+/** If the result is older than this, in ms, the owner is asked again before the takeover. */
+const STALE_RESULT_MS = 200
+/** A takeover is delayed by a random part of this, in ms, so that two processes rarely start at the same time. */
+const TAKEOVER_JITTER_MS = 120
 
 export class OwnerChallenge {
   private _comparedAtMs: MonotonicMs = -Infinity
-  private _comparing: Promise<ChallengeOutcome> = Promise.resolve('bothAway')
-  /** When it was last found that the store is away for both. */
+  private _comparison: Promise<ChallengeOutcome> = Promise.resolve('bothAway')
+  /** When the last comparison found that the store is unavailable for both; -Infinity if it found otherwise. */
   private _bothAwayAtMs: MonotonicMs = -Infinity
 
   public constructor (
@@ -41,19 +41,19 @@
 
   /** @param ownerReaches asks the owner whether it reaches the store now */
   public async challenge (from: IOwnerRecord, ownerReaches: () => Promise<boolean>): Promise<ChallengeOutcome> {
-    if (this._clock.nowMs() - this._comparedAtMs > REST_MS) {
+    if (this._clock.nowMs() - this._comparedAtMs > RESULT_VALID_MS) {
       this._comparedAtMs = this._clock.nowMs()
-      this._comparing = this._compareReach(ownerReaches)
+      this._comparison = this._compareReach(ownerReaches)
     }
-    if (this._clock.nowMs() - this._bothAwayAtMs < AWAY_MS) return 'bothAway'
-    const outcome = await this._comparing
+    if (this._clock.nowMs() - this._bothAwayAtMs < BOTH_AWAY_VALID_MS) return 'bothAway'
+    const outcome = await this._comparison
     if (outcome === 'takesOver') this._takeOverUnlessBack(from, ownerReaches)
     return outcome
   }
 
   private async _compareReach (ownerReaches: () => Promise<boolean>): Promise<ChallengeOutcome> {
     const ownReach = this._ownership.reachesStore()
-    // A process has no link to itself over which it could be asked.
+    // A process has no link to itself that could carry the question.
     const [isReached, isReachedByOwner] = await Promise.all([ownReach, this._ownership.isOwner ? ownReach : ownerReaches()])
     const isAway = !isReached && !isReachedByOwner
     this._bothAwayAtMs = isAway ? this._clock.nowMs() : -Infinity
@@ -61,11 +61,11 @@
     return isReached ? 'takesOver' : 'bothAway'
   }
 
-  /** After a long wait for others to go first, what was found may no longer be so. */
+  /** Asks the owner again after a long delay, because it may reach the store by then. */
   private _takeOverUnlessBack (from: IOwnerRecord, ownerReaches: () => Promise<boolean>): void {
-    const delayMs = this._ownership.yieldMs + this._random.next() * TAKE_JITTER_MS
+    const delayMs = this._ownership.yieldMs + this._random.next() * TAKEOVER_JITTER_MS
     this._clock.after(delayMs, () => {
-      const isBack = delayMs > STALE_FINDING_MS ? ownerReaches() : Promise.resolve(false)
+      const isBack = delayMs > STALE_RESULT_MS ? ownerReaches() : Promise.resolve(false)
       isBack.then((back) => { if (!back) this._ownership.takeOver(from) },
         (error: unknown) => { this._log.error('owner.takeFailed', { reason: String(error) }) })
     })
--- a/src/cell/OwnerIsolation.ts
+++ b/src/cell/OwnerIsolation.ts
@@ -1,8 +1,8 @@
 /**
- * Notices that this process owns the cell and most of its peers can't reach it.
+ * Detects that this process owns the cell while most of its peers can't reach it.
  *
- * The store and the hosts may still be in reach, so its lease lives on, and one would see a cell whose owner works while most
- * callers are refused. Its silent links give it away: it steps aside, and one that the others reach takes over.
+ * The store and the hosts may still be reachable, so the lease goes on. The owner works, but most callers are refused. The sign of it is
+ * that most links have fallen silent. The owner then steps aside, and a process that the others reach takes over.
  */
 
 import type { ILogger } from '../common/observability/Types.js'
@@ -10,28 +10,30 @@
 import type { IPeerHub } from '../peer/Types.js'
 import type { Ownership } from './Ownership.js'
 
-const LOOK_MS = 200
-/** How long most links have to be silent, in ms, beyond the time after which a link counts as silent. */
-const SETTLED_MS = 400
+const CHECK_INTERVAL_MS = 200
+/** How long most links have to be silent, in ms, in addition to the time after which a link is considered silent. */
+const MIN_CUT_MS = 400
 /**
- * Machines that lost power are back and linked within this time, in ms, once the store answers. Peers that stay silent for longer are behind
- * a cut, whatever the processes on this side of it say.
+ * Machines that lost power are back and linked within this time, in ms, once the store answers. Peers that stay silent longer are cut off
+ * by the network, whatever the peers that this process still reaches report.
  */
-const POWER_BACK_MS = 5000
-/** With fewer silent peers it may as well be they that are cut off. */
-const MIN_SILENT = 2
-/** A peer that is there answers from memory within this time, in ms: six round trips between regions. */
+const POWER_RECOVERY_MS = 5000
+/** With fewer silent peers, the peers are just as likely to be the ones that are cut off. */
+const MIN_SILENT_PEERS = 2
+/** A reachable peer answers from memory within this time, in ms: six round trips between regions. */
 const LINKS_TIMEOUT_MS = 250
 
 export class OwnerIsolation implements IDisposable {
-  private readonly _silent = new Set<string>()
+  /** Ids of the peers whose links have fallen silent. */
+  private readonly _silentPeers = new Set<string>()
   private readonly _registrations: readonly IDisposable[]
-  private _sinceMs: MonotonicMs | undefined
-  /** Since when peers could have come back, and haven't. */
-  private _missingSinceMs: MonotonicMs | undefined
+  /** Since when most links have been silent. */
+  private _cutSinceMs: MonotonicMs | undefined
+  /** Since when most links have been silent while the store answered: peers could have found this owner since. */
+  private _confirmedCutSinceMs: MonotonicMs | undefined
   private _isAsking = false
 
-  /** @param _onIsolated called once each time, while this process owns the cell */
+  /** @param _onIsolated called once for each detected isolation, while this process owns the cell */
   public constructor (
     private readonly _hub: IPeerHub,
     private readonly _ownership: Pick<Ownership, 'isOwner' | 'isConfirmed'>,
@@ -40,9 +42,9 @@
     private readonly _log: ILogger
   ) {
     this._registrations = [
-      _hub.onLink(({ peer }) => { this._silent.delete(peer.processId) }),
-      _hub.onLost((peer, cause) => { if (cause === 'silent') this._silent.add(peer.processId) }),
-      _clock.every(LOOK_MS, () => { this._look() })
+      _hub.onLink(({ peer }) => { this._silentPeers.delete(peer.processId) }),
+      _hub.onLost((peer, cause) => { if (cause === 'silent') this._silentPeers.add(peer.processId) }),
+      _clock.every(CHECK_INTERVAL_MS, () => { this._checkLinks() })
     ]
     _hub.handle('cellLinks', async () => ({ processIds: _hub.links().map(({ peer }) => peer.processId) }))
   }
@@ -51,42 +53,46 @@
     for (const registration of this._registrations) registration.dispose()
   }
 
-  private _look (): void {
+  private _checkLinks (): void {
     if (!this._ownership.isOwner) {
-      this._silent.clear()
-      this._sinceMs = undefined
-      this._missingSinceMs = undefined
+      this._silentPeers.clear()
+      this._cutSinceMs = undefined
+      this._confirmedCutSinceMs = undefined
       return
     }
     const nowMs = this._clock.nowMs()
-    const isCut = this._silent.size >= MIN_SILENT && this._silent.size > this._hub.links().length
-    this._sinceMs = isCut ? this._sinceMs ?? nowMs : undefined
-    this._missingSinceMs = isCut && this._ownership.isConfirmed ? this._missingSinceMs ?? nowMs : undefined
-    if (this._sinceMs === undefined || nowMs - this._sinceMs < SETTLED_MS) return
-    // While the store is away for this process, nobody can take a record that is given back.
+    const isCut = this._silentPeers.size >= MIN_SILENT_PEERS && this._silentPeers.size > this._hub.links().length
+    this._cutSinceMs = isCut ? this._cutSinceMs ?? nowMs : undefined
+    this._confirmedCutSinceMs = isCut && this._ownership.isConfirmed ? this._confirmedCutSinceMs ?? nowMs : undefined
+    if (this._cutSinceMs === undefined || nowMs - this._cutSinceMs < MIN_CUT_MS) return
+    // While this process can't reach the store, other processes probably can't either, and none could take a record that is released.
     if (!this._ownership.isConfirmed || this._isAsking) return
-    this._sinceMs = undefined
-    this._judge().catch((error: unknown) => { this._log.error('owner.isolationUnknown', { reason: String(error) }) })
+    this._cutSinceMs = undefined
+    this._confirmIsolation().catch((error: unknown) => { this._log.error('owner.isolationUnknown', { reason: String(error) }) })
   }
 
-  /** Where many machines lose power at once, their peers are as silent as to an owner that is cut off, and nobody could serve the cell better. */
-  private async _judge (): Promise<void> {
+  /**
+   * Asks the other peers first. If many machines lose power at once, their links fall silent just as to an isolated owner, and no other
+   * process could serve the cell better.
+   */
+  private async _confirmIsolation (): Promise<void> {
     this._isAsking = true
     const isReached = await this._areReachedByOthers().finally(() => { this._isAsking = false })
-    const isCutOff = isReached || this._isPowerBack
-    if (isCutOff && this._ownership.isConfirmed) this._onIsolated(this._silent.size)
+    const isCutOff = isReached || this._isPowerRecoveryOver
+    if (isCutOff && this._ownership.isConfirmed) this._onIsolated(this._silentPeers.size)
   }
 
-  private get _isPowerBack (): boolean {
-    return this._missingSinceMs !== undefined && this._clock.nowMs() - this._missingSinceMs > POWER_BACK_MS
+  /** Whether the silent peers have had enough time to recover from a power loss. */
+  private get _isPowerRecoveryOver (): boolean {
+    return this._confirmedCutSinceMs !== undefined && this._clock.nowMs() - this._confirmedCutSinceMs > POWER_RECOVERY_MS
   }
 
-  /** Whether a process that this one has a link to has one to a silent peer; also where there is nobody to ask. */
+  /** Whether a linked peer has a link to a silent one; also true if there is no peer to ask. */
   private async _areReachedByOthers (): Promise<boolean> {
     const replies = await Promise.all(this._hub.links().map(async (link) => await link.call('cellLinks', {}, LINKS_TIMEOUT_MS)))
     const answered = replies.flatMap((reply) => reply.isOk() ? [reply.value.processIds] : [])
-    const isReached = answered.length === 0 || answered.some((processIds) => processIds.some((processId) => this._silent.has(processId)))
-    this._log.info('owner.peersSilent', { silent: this._silent.size, asked: replies.length, answered: answered.length, isReached })
+    const isReached = answered.length === 0 || answered.some((processIds) => processIds.some((processId) => this._silentPeers.has(processId)))
+    this._log.info('owner.peersSilent', { silent: this._silentPeers.size, asked: replies.length, answered: answered.length, isReached })
     return isReached
   }
 }
--- a/src/cell/OwnerRelief.test.ts
+++ b/src/cell/OwnerRelief.test.ts
@@ -1,5 +1,5 @@
 /**
- * An owner that the store doesn't answer, over links whose answers are scripted.
+ * An owner that the store doesn't answer, over links with scripted answers.
  */
 
 import test from 'ava'
@@ -16,7 +16,7 @@
 import type { IOwnerRecord } from './Types.js'
 
 const RECORD: IOwnerRecord = { processId: 'owner', incarnation: 1, peerUrl: 'ws://owner', revision: 7 }
-/** Its lease would end then, in ms. */
+/** Duration of the owner's lease, in ms. */
 const LEASE_MS = 1000
 const NEVER = Infinity
 
@@ -49,33 +49,33 @@
   const ownership = { record: RECORD, onConfirmed: confirmed.event, confirmedAtMs: clock.nowMs(), reachesStore }
   const relief = new OwnerRelief(hub as unknown as IPeerHub, ownership, RECORD, clock, new SilentLogger())
   t.teardown(() => { relief.dispose() })
-  /** The store confirms the owner now, having been asked so long ago. */
-  const confirm = (tookMs: number): void => {
-    ownership.confirmedAtMs = clock.nowMs() - tookMs
+  /** The store confirms the owner now, `durationMs` after the request. */
+  const confirm = (durationMs: number): void => {
+    ownership.confirmedAtMs = clock.nowMs() - durationMs
     confirmed.fire(ownership.confirmedAtMs)
   }
   return { clock, calls, confirm, taken: () => calls.filter((call) => call.startsWith('cellTakeOver')) }
 }
 
-test('an owner that the store is silent to hands the cell to a process that it answers, before its lease ends', async (t) => {
+test('an owner that the store doesn\'t answer hands the cell to a process that the store answers, before its lease ends', async (t) => {
   const { clock, taken } = setUp(t, { owner: NEVER, peers: [NEVER, 5, NEVER] })
   await advance(clock, LEASE_MS - 300, 10)
   t.deepEqual(taken(), ['cellTakeOver peer-1'])
 })
 
-test('an owner keeps the cell while the store is silent to all', async (t) => {
+test('an owner keeps the cell while the store answers no process', async (t) => {
   const { clock, taken } = setUp(t, { owner: NEVER, peers: [NEVER, NEVER] })
   await advance(clock, LEASE_MS * 4, 10)
   t.deepEqual(taken(), [])
 })
 
-test('an owner keeps the cell while the store is slow to all', async (t) => {
+test('an owner keeps the cell while the store is slow for all processes', async (t) => {
   const { clock, taken } = setUp(t, { owner: 350, peers: [290, 300] })
   await advance(clock, LEASE_MS * 4, 10)
   t.deepEqual(taken(), [])
 })
 
-test('an owner that the store answers again meanwhile keeps the cell', async (t) => {
+test('an owner keeps the cell if the store answers it again before the handover', async (t) => {
   const { clock, taken, calls, confirm } = setUp(t, { owner: NEVER, peers: [50, 50] })
   await advance(clock, 450, 10)
   t.is(calls.length, 2)
@@ -84,7 +84,7 @@
   t.deepEqual(taken(), [])
 })
 
-test('an owner that is confirmed in time asks nobody', async (t) => {
+test('an owner that is confirmed in time sends no requests', async (t) => {
   const { clock, calls, confirm } = setUp(t, { owner: 5, peers: [5, 5] })
   for (let round = 0; round < 20; round += 1) {
     confirm(5)
@@ -93,8 +93,8 @@
   t.deepEqual(calls, [])
 })
 
-test('an owner whose confirmations come late because it is busy asks nobody', async (t) => {
-  // Asking all peers once a second took what little processor it had left.
+test('an owner whose confirmations are late because it is busy sends no requests', async (t) => {
+  // Requests to all peers once a second would use up the little processor time that it has left.
   const { clock, calls, confirm } = setUp(t, { owner: 5, peers: [5, 5] })
   for (let round = 0; round < 8; round += 1) {
     confirm(300)
--- a/src/cell/OwnerRelief.ts
+++ b/src/cell/OwnerRelief.ts
@@ -1,16 +1,16 @@
 /**
- * Hands the cell over where the store answers other processes and not its owner.
+ * Hands the cell over if the store answers other processes but not the owner.
  *
- * Such an owner still reaches hosts and callers, and its lease goes on for up to a second. One sees jobs that can be neither accepted nor
- * told as completed, and urgent ones that come late for it. Its peers can tell a store that is away for all, which nobody could serve
- * better, from one that is away for the owner.
+ * Such an owner still reaches hosts and callers, and its lease goes on for up to a second. Meanwhile jobs can neither be accepted nor
+ * reported as completed, and urgent jobs are late. The peers' answers distinguish a store that is unavailable for all, in which case no
+ * process could serve the cell better, from one that is unavailable for the owner alone.
  */
 
 import { chooseSuccessor } from '../common/cell/Successor.js'
 import { DisposableStore } from '../common/Emitter.js'
 import { AnswerLimit } from './AnswerLimit.js'
-import { askOffer, isTakenBy } from './Handover.js'
-import { RENEW_MS } from './Ownership.js'
+import { requestOffer, requestTakeover } from './Handover.js'
+import { RENEW_INTERVAL_MS } from './Ownership.js'
 
 import type { IOffer } from '../common/cell/Successor.js'
 import type { ILogger } from '../common/observability/Types.js'
@@ -19,22 +19,22 @@
 import type { Ownership } from './Ownership.js'
 import type { IOwnerRecord } from './Types.js'
 
-const LOOK_MS = 50
-/** How long a confirmation may take: one that isn't answered within 100 ms is asked for once more. */
-const CONFIRMATION_LIMIT = { leastMs: 150, unknownMs: 150 }
-/** Peers try the store for 400 ms; two round trips between regions more. */
-const ASK_TIMEOUT_MS = 500
-/** After the first peer that reaches the store others may answer for so long, in ms, and the store may answer the owner as well. */
-const GATHER_MS = 100
-/** The peers aren't asked again sooner, in ms. */
-const REST_MS = 1000
+const CHECK_INTERVAL_MS = 50
+/** How long a confirmation may take, in ms. One that isn't answered within 100 ms is requested once more. */
+const CONFIRMATION_LIMIT = { minMs: 150, initialMs: 150 }
+/** Peers try the store for 400 ms; the rest is for two round trips between regions. */
+const OFFER_TIMEOUT_MS = 500
+/** After the first offer of a peer that reaches the store, other peers have this long to answer, in ms, and so has the store to answer the owner. */
+const MORE_OFFERS_MS = 100
+/** Shortest interval between two requests to the peers, in ms. */
+const MIN_ASK_INTERVAL_MS = 1000
 
 export class OwnerRelief implements IDisposable {
   private readonly _disposables = new DisposableStore()
   private readonly _limit = new AnswerLimit(CONFIRMATION_LIMIT)
   private _askedAtMs: MonotonicMs = -Infinity
 
-  /** @param _record the ownership for which it looks, until it is disposed */
+  /** @param _record the ownership to hand over; the object is disposed when that ownership ends */
   public constructor (
     private readonly _hub: IPeerHub,
     private readonly _ownership: Pick<Ownership, 'record' | 'confirmedAtMs' | 'onConfirmed' | 'reachesStore'>,
@@ -42,9 +42,9 @@
     private readonly _clock: IClock & ITimers,
     private readonly _log: ILogger
   ) {
-    this._disposables.add(_ownership.onConfirmed((askedAtMs) => { this._limit.note(_clock.nowMs() - askedAtMs) }))
-    this._disposables.add(_clock.every(LOOK_MS, () => {
-      if (this._isDue) this._seekRelief().catch((error: unknown) => { this._noteFailed(error) })
+    this._disposables.add(_ownership.onConfirmed((askedAtMs) => { this._limit.recordAnswer(_clock.nowMs() - askedAtMs) }))
+    this._disposables.add(_clock.every(CHECK_INTERVAL_MS, () => {
+      if (this._isRequestDue) this._findSuccessor().catch((error: unknown) => { this._logFailure(error) })
     }))
   }
 
@@ -52,43 +52,43 @@
     this._disposables.dispose()
   }
 
-  private get _isDue (): boolean {
+  private get _isRequestDue (): boolean {
     const nowMs = this._clock.nowMs()
-    const overdueMs = RENEW_MS + this._limit.limitMs
-    return nowMs - this._ownership.confirmedAtMs > overdueMs && nowMs - this._askedAtMs > REST_MS
+    const overdueMs = RENEW_INTERVAL_MS + this._limit.limitMs
+    return nowMs - this._ownership.confirmedAtMs > overdueMs && nowMs - this._askedAtMs > MIN_ASK_INTERVAL_MS
   }
 
-  private async _seekRelief (): Promise<void> {
+  private async _findSuccessor (): Promise<void> {
     const { confirmedAtMs } = this._ownership
     this._askedAtMs = this._clock.nowMs()
     let isReached = false
-    this._ownership.reachesStore().then((reached) => { isReached = reached }, (error: unknown) => { this._noteFailed(error) })
-    const offers = await this._offers()
+    this._ownership.reachesStore().then((reached) => { isReached = reached }, (error: unknown) => { this._logFailure(error) })
+    const offers = await this._collectOffers()
     const successor = chooseSuccessor(offers)
     const isBack = isReached || this._ownership.confirmedAtMs > confirmedAtMs || this._ownership.record?.revision !== this._record.revision
-    const isTaken = successor !== undefined && !isBack && await isTakenBy(this._hub.link(successor.processId), this._record)
+    const isTaken = successor !== undefined && !isBack && await requestTakeover(this._hub.link(successor.processId), this._record)
     const willing = offers.filter((offer) => offer.isWilling).length
     const ageMs = Math.round(this._askedAtMs - confirmedAtMs)
     this._log.warn('owner.unconfirmed', { ageMs, answered: offers.length, willing, isBack, successor: successor?.processId, isTaken, revision: this._record.revision })
   }
 
-  /** What the peers say until shortly after the first that reaches the store. */
-  private async _offers (): Promise<readonly IOffer[]> {
+  /** Returns the peers' answers that arrive until shortly after the first offer of a peer that reaches the store. */
+  private async _collectOffers (): Promise<readonly IOffer[]> {
     const offers: IOffer[] = []
     const firstWilling = new Promise<void>((resolve) => {
       for (const link of this._hub.links()) {
-        askOffer(link, this._record, 'cellRelief', ASK_TIMEOUT_MS).then((offer) => {
+        requestOffer(link, this._record, 'cellRelief', OFFER_TIMEOUT_MS).then((offer) => {
           offers.push(offer)
           if (offer.isWilling) resolve()
-        }, (error: unknown) => { this._noteFailed(error) })
+        }, (error: unknown) => { this._logFailure(error) })
       }
     })
-    await Promise.race([firstWilling, this._pause(ASK_TIMEOUT_MS)])
-    await this._pause(GATHER_MS)
+    await Promise.race([firstWilling, this._pause(OFFER_TIMEOUT_MS)])
+    await this._pause(MORE_OFFERS_MS)
     return [...offers]
   }
 
-  private _noteFailed (error: unknown): void {
+  private _logFailure (error: unknown): void {
     this._log.error('owner.reliefFailed', { reason: String(error) })
   }
 
--- a/src/cell/OwnerRoute.test.ts
+++ b/src/cell/OwnerRoute.test.ts
@@ -1,5 +1,5 @@
 /**
- * The way to the owner, over links whose answers are scripted.
+ * Forwarding of requests to the owner, over links with scripted answers.
  */
 
 import test from 'ava'
@@ -21,7 +21,7 @@
 const OWNER: IOwnerRecord = { processId: 'owner', incarnation: 1, peerUrl: 'ws://owner', revision: 7 }
 const CALLER_WAITS_MS = 3000
 
-/** @param linkAfterMs the link is there from then on */
+/** @param linkAfterMs when the link is established, in ms */
 function setUp (replies: readonly ((clock: ManualClock, timeoutMs: number) => Reply)[], records: readonly IOwnerRecord[] = [OWNER], linkAfterMs = 0, challenge: ChallengeOutcome = 'bothAway') {
   const clock = new ManualClock()
   let calls = 0
@@ -59,16 +59,16 @@
 const refusal = (): Reply => okAsync({ kind: 'refused', reason: 'the store is away', retryAfterMs: 1000 })
 const storeAway = (): Reply => okAsync({ kind: 'refused', reason: 'the store is away', retryAfterMs: 1000, isStoreAway: true })
 
-test('a caller isn\'t held back by a process that has lost the cell', async (t) => {
-  // The record that this gateway has is old: the process it names still answers, and owns nothing any more. Its caller would
-  // wait until it gives up, beside gateways that know the new owner.
+test('a caller does not wait long for a process that has lost the cell', async (t) => {
+  // This gateway has an old record: the process that it names still answers, but no longer owns the cell. Its caller must not wait until
+  // its time is over, because other gateways know the new owner.
   const { route, clock } = setUp([notTheOwner])
   const result = await settled(clock, route.submit(SUBMISSION, CALLER_WAITS_MS))
   t.like(result?.outcome, { kind: 'refused', retryAfterMs: 1000 })
   t.true((result?.afterMs ?? Infinity) <= 1300)
 })
 
-test('no owner is asked after the caller\'s time', async (t) => {
+test('no owner is asked after the caller\'s time is over', async (t) => {
   const { route, clock, calls } = setUp([notTheOwner])
   const result = await settled(clock, route.submit(SUBMISSION, 200))
   t.is(result?.outcome.kind, 'refused')
@@ -76,8 +76,8 @@
   t.true(calls() <= 10)
 })
 
-test('a submission that may be stored waits for an owner for a while, not without end', async (t) => {
-  // The link broke with the submission on it, and the process has lost the cell meanwhile: nobody can say what became of it.
+test('a submission that may be stored waits for an owner for a limited time', async (t) => {
+  // The link broke during the submission, and the process has lost the cell meanwhile, so that no process knows the outcome.
   const { route, clock } = setUp([noAnswer, notTheOwner])
   const result = await settled(clock, route.submit(SUBMISSION, CALLER_WAITS_MS))
   t.is(result?.outcome.kind, 'inDoubt')
@@ -91,8 +91,8 @@
   t.true((result?.afterMs ?? Infinity) <= 1050)
 })
 
-test('a caller is not held for its whole time by an owner that is linked and silent', async (t) => {
-  // Asked again and again, the owner used up the time in which another gateway could have told the caller.
+test('a caller does not wait its full time for an owner that is linked but silent', async (t) => {
+  // Repeated calls to the silent owner would use up the time in which another gateway could have answered the caller.
   const { route, clock, calls } = setUp([silent])
   const result = await settled(clock, route.submit(SUBMISSION, CALLER_WAITS_MS))
   t.is(result?.outcome.kind, 'inDoubt')
@@ -100,8 +100,8 @@
   t.true(calls() <= 2)
 })
 
-test('nor by one that was found late', async (t) => {
-  // The waits for an owner and for its answer, each allowed for itself, took longer than a process that stops has.
+test('a caller does not wait its full time for a silent owner that was linked late', async (t) => {
+  // The waits for an owner and for its answer together must not take longer than a stopping process has.
   const { route, clock } = setUp([silent], [OWNER], 900)
   route.follow(OWNER)
   const result = await settled(clock, route.submit(SUBMISSION, CALLER_WAITS_MS))
@@ -109,8 +109,8 @@
   t.true((result?.afterMs ?? Infinity) <= 2050)
 })
 
-test('a call to an owner that was replaced is not waited for', async (t) => {
-  // The owner has lost power, and its link falls silent. The next one has taken over after half a second, and knows what is stored.
+test('a pending call to an owner that was replaced is abandoned', async (t) => {
+  // The owner loses power, and its link falls silent. The next owner has taken over after half a second, and knows what is stored.
   const next = { ...OWNER, processId: 'next', incarnation: 2, peerUrl: 'ws://next', revision: 9 }
   const { route, clock } = setUp([silent, accepted], [OWNER, next])
   route.follow(OWNER)
@@ -120,42 +120,42 @@
   t.true((result?.afterMs ?? Infinity) <= 600)
 })
 
-test('what may be stored is not called refused because the link is too busy for a second try', async (t) => {
-  // The first try may have been stored. "Not taken" would be untrue: its caller would hand the work to somebody else,
-  // and it would run twice.
+test('a submission that may be stored is not refused because the link is too busy for a second attempt', async (t) => {
+  // The first attempt may have been stored. If it were reported as refused, the caller would submit the work elsewhere, and it would run
+  // twice.
   const { route, clock } = setUp([noAnswer, overloaded])
   t.is((await settled(clock, route.submit(SUBMISSION, CALLER_WAITS_MS)))?.outcome.kind, 'inDoubt')
 })
 
-test('the owner that may still get the first try can\'t refuse the second one for certain', async (t) => {
-  // The first try was on a connection that broke: the owner may read it after the second.
+test('an owner that may still receive the first attempt can\'t refuse the second one with certainty', async (t) => {
+  // The first attempt was sent on a connection that broke: the owner may read it after the second one.
   const { route, clock } = setUp([noAnswer, refusal])
   t.is((await settled(clock, route.submit(SUBMISSION, CALLER_WAITS_MS)))?.outcome.kind, 'inDoubt')
 })
 
-test('the next owner knows what the last one stored, and may refuse', async (t) => {
-  // It has read all jobs after the last one's writes were barred.
+test('the next owner knows what the previous one stored, and may refuse', async (t) => {
+  // It has read all jobs after the previous owner's writes were fenced off.
   const { route, clock } = setUp([noAnswer, refusal], [OWNER, { ...OWNER, revision: 9 }])
   t.is((await settled(clock, route.submit(SUBMISSION, CALLER_WAITS_MS)))?.outcome.kind, 'refused')
 })
 
-test('a link that is too busy refuses at once what was never sent', async (t) => {
+test('a submission that was never sent is refused at once if the link is too busy', async (t) => {
   const { route, clock } = setUp([overloaded])
   const result = await settled(clock, route.submit(SUBMISSION, CALLER_WAITS_MS))
   t.is(result?.outcome.kind, 'refused')
   t.true((result?.afterMs ?? Infinity) <= 25)
 })
 
-test('callers wait for the link to a new owner, which nobody has yet', async (t) => {
-  // The cell has just been taken over, and all gateways dial the new owner while it reads the jobs. Sent on at once, a caller
-  // would be sent on by each of them in turn, and use up its tries.
+test('callers wait for the link to a new owner, which no gateway has yet', async (t) => {
+  // The cell has just been taken over, and all gateways dial the new owner while it reads the jobs. If callers were refused at once, each
+  // gateway in turn would refuse them, and they would use up their attempts.
   const { route, clock } = setUp([accepted], [OWNER], 700)
   route.follow(OWNER)
   const result = await settled(clock, route.submit(SUBMISSION, CALLER_WAITS_MS))
   t.is(result?.outcome.kind, 'accepted')
 })
 
-test('callers are sent on at once by a gateway that can\'t reach the owner at all', async (t) => {
+test('a gateway that can\'t reach the owner at all refuses callers at once', async (t) => {
   const { route, clock } = setUp([accepted], [OWNER], Infinity)
   route.follow(OWNER)
   await advance(clock, 1100, 25)
@@ -164,15 +164,16 @@
   t.true((result?.afterMs ?? Infinity) <= 25)
 })
 
-test('an owner that is back at the store is asked again, instead of sending its callers away', async (t) => {
-  // The store was away for all, and is back; the owner refused a moment before that. Its caller would come back a second later.
+test('an owner that reaches the store again is asked again, instead of refusing its callers', async (t) => {
+  // The store was unavailable for all processes and is back; the owner refused the job just before that. Otherwise the caller would retry a
+  // second later.
   const { route, clock } = setUp([storeAway, storeAway, accepted], [OWNER], 0, 'ownerIsWell')
   const result = await settled(clock, route.submit(SUBMISSION, CALLER_WAITS_MS))
   t.is(result?.outcome.kind, 'accepted')
   t.true((result?.afterMs ?? Infinity) <= 200)
 })
 
-test('while the store is away for all, callers are told so at once', async (t) => {
+test('while the store is unavailable for all processes, callers are refused at once', async (t) => {
   const { route, clock } = setUp([storeAway], [OWNER], 0, 'bothAway')
   const result = await settled(clock, route.submit(SUBMISSION, CALLER_WAITS_MS))
   t.like(result?.outcome, { kind: 'refused', retryAfterMs: 1000 })
--- a/src/cell/OwnerWatch.ts
+++ b/src/cell/OwnerWatch.ts
@@ -1,9 +1,9 @@
 /**
- * Notices that the owner's process is gone before its lease has run out, and takes over.
+ * Detects that the owner's process has ended before its lease has run out, and takes the cell over.
  *
- * A process that was killed leaves a closed connection and a port that nobody listens on. Waiting for its lease would
- * leave the cell without an owner for a second and a half, and callers of urgent work would be told to come back. Being
- * wrong costs a takeover and no more: the store and the hosts refuse the old owner from then on.
+ * A killed process leaves a closed connection and a port on which no process listens. If the lease had to run out first, the cell would
+ * have no owner for a second and a half, and callers with urgent work would be told to retry. A wrong conclusion costs only a takeover: the
+ * store and the hosts refuse the previous owner from then on.
  */
 
 import { connect } from 'node:net'
@@ -13,8 +13,8 @@
 import type { Ownership } from './Ownership.js'
 import type { IOwnerRecord } from './Types.js'
 
-/** A takeover begins after a random part of this, in ms, so that one of the processes is clearly first. */
-const TAKE_JITTER_MS = 150
+/** A takeover is delayed by a random part of this, in ms, so that two processes rarely start at the same time. */
+const TAKEOVER_JITTER_MS = 150
 const PROBE_TIMEOUT_MS = 500
 
 export class OwnerWatch implements IDisposable {
@@ -29,7 +29,7 @@
   ) {
     this._subscription = hub.onLost((peer, cause) => {
       const { record } = _ownership
-      if (cause !== 'released' && record !== undefined && record.processId === peer.processId) this._probe(record)
+      if (cause !== 'released' && record !== undefined && record.processId === peer.processId) this._probeOwner(record)
     })
   }
 
@@ -37,10 +37,10 @@
     this._subscription.dispose()
   }
 
-  private _probe (record: IOwnerRecord): void {
-    this._timers.after(this._ownership.yieldMs + this._random.next() * TAKE_JITTER_MS, () => {
+  private _probeOwner (record: IOwnerRecord): void {
+    this._timers.after(this._ownership.yieldMs + this._random.next() * TAKEOVER_JITTER_MS, () => {
       if (this._ownership.record?.revision !== record.revision) return
-      isRefused(record.peerUrl).then((refused) => {
+      isConnectionRefused(record.peerUrl).then((refused) => {
         this._log.warn('owner.linkLost', { peer: record.processId, revision: record.revision, refused })
         if (refused) this._ownership.takeOver(record)
       }, (error: unknown) => { this._log.error('owner.probeFailed', { reason: String(error) }) })
@@ -48,17 +48,17 @@
   }
 }
 
-/** Whether nobody listens there: the machine answers, the process doesn't. */
-async function isRefused (peerUrl: string): Promise<boolean> {
+/** Whether the machine answers but no process listens on the port. */
+async function isConnectionRefused (peerUrl: string): Promise<boolean> {
   const { hostname, port } = new URL(peerUrl)
   return await new Promise((resolve) => {
     const socket = connect({ host: hostname, port: Number(port) })
-    const end = (refused: boolean): void => {
+    const finish = (refused: boolean): void => {
       socket.destroy()
       resolve(refused)
     }
-    socket.setTimeout(PROBE_TIMEOUT_MS, () => { end(false) })
-    socket.once('connect', () => { end(false) })
-    socket.once('error', (error: Error & { readonly code?: string }) => { end(error.code === 'ECONNREFUSED') })
+    socket.setTimeout(PROBE_TIMEOUT_MS, () => { finish(false) })
+    socket.once('connect', () => { finish(false) })
+    socket.once('error', (error: Error & { readonly code?: string }) => { finish(error.code === 'ECONNREFUSED') })
   })
 }
--- a/src/cell/Ownership.test.ts
+++ b/src/cell/Ownership.test.ts
@@ -1,5 +1,5 @@
 /**
- * Ownership of the cell against a store whose answers are scripted.
+ * Ownership of the cell, against a store with scripted answers.
  */
 
 import test from 'ava'
@@ -22,7 +22,7 @@
   public leases = 0
   private _revision = 10
 
-  /** How long a whole read takes. */
+  /** Duration of a read of everything, in ms. */
   public rangeMs = 0
 
   public constructor (private readonly _clock: ManualClock) {}
@@ -71,7 +71,8 @@
 }
 
 test('an owner keeps its lease while the store loses answers', async (t) => {
-  // Of the renewals that fall due, each is lost. Waited for, the lease would run out, and the cell would change owners every second.
+  // Each scheduled renewal is lost. If the owner waited for its answer, the lease would run out, and the cell would change owners every
+  // second.
   const { clock, store, ownership } = setUp()
   ownership.start()
   await advance(clock, 400, 10)
@@ -91,32 +92,32 @@
   t.true(calls <= 42)
 })
 
-test('a process takes the cell over from an owner that asks for it, while that one still has it', async (t) => {
+test('a process takes the cell over from an owner that asks for it and still owns it', async (t) => {
   const { clock, store, ownership } = setUp()
   store.item = { key: OWNER_KEY, value: JSON.stringify(OTHER), revision: 10 }
   ownership.start()
   await advance(clock, 50, 10)
   t.is(ownership.record?.processId, 'b')
-  t.true(await ownership.takeOverFrom({ ...OTHER, revision: 10 }))
+  t.true(await ownership.acceptHandover({ ...OTHER, revision: 10 }))
   t.is(ownership.record?.processId, 'a')
 })
 
-test('a process that is about to stop, or has heard of a newer owner, takes nothing over', async (t) => {
-  // Two machines are stopped at the same time, and the first hands the cell to the second: it would be handed on at once.
+test('a process that is about to stop, or knows of a newer owner, does not take the cell over', async (t) => {
+  // Two machines are stopped at the same time. If the first handed the cell to the second, the second would have to hand it over at once.
   const { clock, store, ownership } = setUp()
   store.item = { key: OWNER_KEY, value: JSON.stringify(OTHER), revision: 10 }
   ownership.start()
   await advance(clock, 50, 10)
-  t.false(await ownership.takeOverFrom({ ...OTHER, revision: 9 }))
-  ownership.leave()
-  t.false(ownership.canTake)
-  t.false(await ownership.takeOverFrom({ ...OTHER, revision: 10 }))
+  t.false(await ownership.acceptHandover({ ...OTHER, revision: 9 }))
+  ownership.prepareToStop()
+  t.false(ownership.canAcquire)
+  t.false(await ownership.acceptHandover({ ...OTHER, revision: 10 }))
   t.is(store.item.revision, 10)
 })
 
 test('the cell is not taken from an owner that reaches the store', async (t) => {
-  // The store was away for all and has just come back. Each gateway whose owner refused a job would take the cell from it, and callers that
-  // return would find the cell without an owner, or with one far from the store.
+  // The store was unavailable for all processes and has just come back. If each gateway whose owner refused a job took the cell from it,
+  // returning callers would find the cell without an owner, or with one far from the store.
   const { clock, store, ownership, challenge } = setUp()
   store.item = { key: OWNER_KEY, value: JSON.stringify(OTHER), revision: 10 }
   ownership.start()
@@ -130,8 +131,9 @@
   t.not(store.item.revision, 10)
 })
 
-test('callers of the owner\'s own process are not held back by a challenge to itself', async (t) => {
-  // With no link to itself to ask over, it was taken for out of reach, and callers waited for a takeover that can't come.
+test('callers of the owner\'s own process do not wait for a takeover from itself', async (t) => {
+  // An owner has no link to itself. If it were considered unreachable because of that, its callers would wait for a takeover that can't
+  // happen.
   const { clock, ownership, challenge } = setUp()
   ownership.start()
   await advance(clock, 400, 10)
@@ -141,8 +143,8 @@
   t.is(await challenge.challenge(record, async () => false), 'ownerIsWell')
 })
 
-test('an owner that is back before a slow challenger takes the cell keeps it', async (t) => {
-  // The challenger lets others go first for longer than the store needs to come back.
+test('an owner that reaches the store again before a slow challenger takes the cell keeps it', async (t) => {
+  // The challenger waits for other processes to go first, for longer than the store needs to come back.
   const { clock, store, ownership, challenge } = setUp(600)
   store.item = { key: OWNER_KEY, value: JSON.stringify(OTHER), revision: 10 }
   ownership.start()
@@ -154,9 +156,9 @@
   t.is(store.item.revision, 10)
 })
 
-test('while the store is away for all, callers don\'t wait for each look at it', async (t) => {
-  // Each look takes 0.4 s, since nothing answers, and there is one every half second: most callers would wait for one before they hear
-  // that they have to come back.
+test('while the store is unavailable for all processes, callers don\'t wait for each comparison', async (t) => {
+  // Each comparison takes 0.4 s, since the store does not answer, and one starts every half second. Most callers would have to wait for one
+  // before they are refused.
   const { clock, store, ownership, challenge } = setUp()
   store.item = { key: OWNER_KEY, value: JSON.stringify(OTHER), revision: 10 }
   ownership.start()
@@ -182,8 +184,9 @@
   t.is(await later, 'takesOver')
 })
 
-test('a process that starts again takes the cell from its earlier life at once', async (t) => {
-  // Nobody was found gone, since each port was listened on again, and callers were refused until the lease ended.
+test('a restarted process takes the cell over from its earlier incarnation at once', async (t) => {
+  // No other process detects that the owner has ended, since its port is listened on again, and callers would be refused until the lease
+  // ends.
   const { clock, store, ownership } = setUp()
   store.item = { key: OWNER_KEY, value: JSON.stringify({ ...OTHER, processId: SELF.processId, incarnation: SELF.incarnation - 1 }), revision: 10 }
   ownership.start()
@@ -191,7 +194,7 @@
   t.true(ownership.isOwner)
 })
 
-test('the cell is left alone while another process owns it', async (t) => {
+test('a process does not take the cell while another process owns it', async (t) => {
   const { clock, store, ownership } = setUp()
   store.item = { key: OWNER_KEY, value: JSON.stringify({ ...OTHER, incarnation: SELF.incarnation - 1 }), revision: 10 }
   ownership.start()
@@ -200,7 +203,8 @@
 })
 
 test('processes that have just started don\'t wait for each other', async (t) => {
-  // The first read of a new process is slow for its own sake: all seemed far from the store and let the others go first.
+  // The first read of a new process is slow because of the start itself, so that all processes would seem far from the store and wait for
+  // each other.
   const { clock, store, ownership } = setUp()
   store.rangeMs = 150
   ownership.start()
@@ -208,7 +212,7 @@
   t.true(ownership.isOwner)
 })
 
-test('a process far from the store lets others go first when an owner vanishes', async (t) => {
+test('a process far from the store lets other processes go first when an owner vanishes', async (t) => {
   const { clock, store, ownership } = setUp()
   store.rangeMs = 100
   store.get = async () => {
--- a/src/cell/Standby.test.ts
+++ b/src/cell/Standby.test.ts
@@ -1,5 +1,5 @@
 /**
- * Standing by for an owner that vanishes, over links whose answers are scripted.
+ * The standby and an owner that vanishes, over links with scripted answers.
  */
 
 import test from 'ava'
@@ -19,10 +19,10 @@
 
 type Listener = (cast: object) => void
 
-/** A hub as one process sees it: who answers pings, what witnesses say, who was dialled. */
+/** The hub of one process, with scripted answers to pings and witness calls. Records which addresses were dialled. */
 class ScriptedHub {
   public isOwnerThere = true
-  /** How long the owner takes to answer a ping. */
+  /** How long the owner takes to answer a ping, in ms. */
   public ownerAnswerMs = 0
   public witnesses: readonly boolean[] = [false, false, false]
   public readonly dialled: string[] = []
@@ -76,7 +76,7 @@
     else this._clock.after(this.ownerAnswerMs, () => { resolve(ok({})) })
   }
 
-  public tell (name: string, cast: object): void {
+  public deliver (name: string, cast: object): void {
     this._listeners.get(name)?.(cast)
   }
 }
@@ -93,7 +93,7 @@
 test('the cell is taken from an owner that has fallen silent, before its lease ends', async (t) => {
   // The owner's machine loses power. Its lease goes on for a second, and all callers wait.
   const { clock, hub, taken } = setUp('standby')
-  hub.tell('cellStandby', STANDBY)
+  hub.deliver('cellStandby', STANDBY)
   await advance(clock, 1000, 10)
   t.deepEqual(taken, [])
   hub.isOwnerThere = false
@@ -102,53 +102,53 @@
 })
 
 test('an owner that answers late because it is busy keeps the cell', async (t) => {
-  // Each takeover made the next owner as busy, and the cell changed hands every few seconds while nothing got done.
+  // Each takeover would make the next owner just as busy, and the cell would change owners every few seconds without any progress.
   const { clock, hub, taken } = setUp('standby')
   hub.ownerAnswerMs = 600
-  hub.tell('cellStandby', STANDBY)
+  hub.deliver('cellStandby', STANDBY)
   await advance(clock, 10_000, 10)
   t.deepEqual(taken, [])
 })
 
-test('an owner that has just become busy keeps the cell if its answer comes while the others are asked', async (t) => {
+test('an owner that has just become busy keeps the cell if its answer arrives while the other processes are asked', async (t) => {
   const { clock, hub, taken } = setUp('standby')
-  hub.tell('cellStandby', STANDBY)
+  hub.deliver('cellStandby', STANDBY)
   await advance(clock, 2000, 10)
   hub.ownerAnswerMs = 450
   await advance(clock, 10_000, 10)
   t.deepEqual(taken, [])
 })
 
-test('an owner that only the standby doesn\'t reach keeps the cell', async (t) => {
-  // It is the link between the two that is cut: taken over, the cell would pass to the one that fewer reach.
+test('an owner that only the standby can\'t reach keeps the cell', async (t) => {
+  // Only the link between the two is cut. After a takeover, the owner would be the process that fewer processes reach.
   const { clock, hub, taken } = setUp('standby')
   hub.witnesses = [true, true, false]
-  hub.tell('cellStandby', STANDBY)
+  hub.deliver('cellStandby', STANDBY)
   hub.isOwnerThere = false
   await advance(clock, 3000, 10)
   t.deepEqual(taken, [])
 })
 
-test('a standby that nobody answers takes nothing', async (t) => {
-  // With two processes left, neither can tell which of them is cut off; the lease decides.
+test('a standby that no process answers does not take the cell over', async (t) => {
+  // If only two processes are left, neither can tell which of them is cut off, and the lease decides.
   const { clock, hub, taken } = setUp('standby')
   hub.witnesses = []
-  hub.tell('cellStandby', STANDBY)
+  hub.deliver('cellStandby', STANDBY)
   hub.isOwnerThere = false
   await advance(clock, 3000, 10)
   t.deepEqual(taken, [])
 })
 
-test('all others keep a link to the one that stands by, and to no earlier one', (t) => {
+test('all other processes keep a link to the standby, and to no earlier one', (t) => {
   const { hub } = setUp('gateway')
-  hub.tell('cellStandby', { ...STANDBY, peerUrl: 'ws://first', processId: 'first' })
-  hub.tell('cellStandby', STANDBY)
+  hub.deliver('cellStandby', { ...STANDBY, peerUrl: 'ws://first', processId: 'first' })
+  hub.deliver('cellStandby', STANDBY)
   t.deepEqual(hub.dialled, ['ws://standby'])
-  hub.tell('cellStandby', { ...STANDBY, peerUrl: 'ws://old', processId: 'old', revision: 5 })
+  hub.deliver('cellStandby', { ...STANDBY, peerUrl: 'ws://old', processId: 'old', revision: 5 })
   t.deepEqual(hub.dialled, ['ws://standby'])
 })
 
-test('the owner names the process nearest the store, and tells everybody', async (t) => {
+test('the owner names the process nearest the store as the standby, and announces it to all peers', async (t) => {
   const clock = new ManualClock()
   const hub = new ScriptedHub({ processId: 'owner' }, clock)
   const choice = new StandbyChoice(hub as unknown as IPeerHub, OWNER, clock, new SilentLogger())
--- a/src/cell/StoreLane.test.ts
+++ b/src/cell/StoreLane.test.ts
@@ -1,5 +1,5 @@
 /**
- * A lane of writes against a store whose answers are scripted.
+ * Writes of a lane, against a store with scripted answers.
  */
 
 import test from 'ava'
@@ -11,15 +11,15 @@
 
 import type { CommitOutcome, IMetadataStore, ITransaction } from '../common/cell/Types.js'
 
-const LANE = 'lane'
+const LANE_KEY = 'lane'
 
-/** Carries transactions out, or not, and answers, or not, as the script says. */
+/** Carries transactions out and answers them as the script says. */
 class ScriptedStore {
   public readonly transactions: ITransaction[] = []
   public readonly values = new Map<string, string>()
   public readonly revisions = new Map<string, number>([[OWNER_KEY, 5]])
   public script: ('ok' | 'lost' | 'never' | 'busy' | 'silent' | 'silent-undone')[] = []
-  /** Answers take so long; one that takes longer than it is waited for doesn't come. */
+  /** Latency of the store, in ms. An answer that takes longer than the caller's timeout never arrives. */
   public answerMs = 0
   private _revision = 10
 
@@ -60,11 +60,11 @@
   }
 }
 
-function lane () {
+function setUp () {
   const clock = new ManualClock()
   const store = new ScriptedStore(clock)
   const lost: string[] = []
-  const options = { laneKey: LANE, laneRevision: 0, ownerRevision: 5, writerId: 'me' }
+  const options = { laneKey: LANE_KEY, laneRevision: 0, ownerRevision: 5, writerId: 'me' }
   const latency = new StoreLatency(5)
   const writer = new StoreLane(store as unknown as IMetadataStore, options, latency, clock, new SilentLogger(), (reason) => { lost.push(reason) })
   const stored: string[] = []
@@ -85,8 +85,8 @@
   return { store, write, run, stored, refused, unknown, lost, writer }
 }
 
-test('writes of a moment go out together, and the last value of a key counts', async (t) => {
-  const { store, write, run, stored } = lane()
+test('writes that are made shortly after each other share a transaction, with the last value of each key', async (t) => {
+  const { store, write, run, stored } = setUp()
   write('a', '1')
   write('b', '1')
   write('a', '2')
@@ -96,10 +96,10 @@
   t.deepEqual(stored, ['a=1', 'a=2', 'b=1'])
 })
 
-test('a write whose answer was lost is found done, not done again', async (t) => {
-  // The store carries a transaction out and its answer is lost. Sent again, it must not be taken for another writer's, or
-  // the owner would give up the cell.
-  const { store, write, run, stored, lost } = lane()
+test('a write whose answer was lost is recognised as stored, and not carried out again', async (t) => {
+  // The store carries a transaction out and its answer is lost. When the transaction is sent again, it must not be mistaken for another
+  // writer's, or the owner would give up the cell.
+  const { store, write, run, stored, lost } = setUp()
   store.script = ['lost']
   write('a', '1')
   await run(100)
@@ -110,10 +110,10 @@
   t.is(store.values.get('a'), '2')
 })
 
-test('a lost write that is carried out seconds later changes nothing any more', async (t) => {
-  // The first try has no answer and is carried out late, after newer writes of the same key. Old progress over newer would make
-  // the next owner start tasks that are done.
-  const { store, write, run } = lane()
+test('a lost write that is carried out seconds later has no effect', async (t) => {
+  // The first attempt has no answer and is carried out late, after newer writes of the same key. If older progress overwrote newer
+  // progress, the next owner would start tasks that are done.
+  const { store, write, run } = setUp()
   store.script = ['never']
   write('a', '1')
   await run(100)
@@ -124,8 +124,8 @@
   t.is(store.values.get('a'), '2')
 })
 
-test('what may be refused is refused only when it is certain that it was not stored', async (t) => {
-  const { store, write, run, stored, refused } = lane()
+test('a write that may be refused is refused only when it is certainly not stored', async (t) => {
+  const { store, write, run, stored, refused } = setUp()
   store.script = Array.from({ length: 20 }, () => 'busy' as const)
   write('job', 'x', true)
   write('progress', 'y')
@@ -135,9 +135,9 @@
   t.deepEqual(stored, ['progress=y'])
 })
 
-test('what is in doubt is not refused, however long the store is away', async (t) => {
-  // The first try may have been carried out. A caller told "not accepted" could see its job run.
-  const { store, write, run, stored, refused } = lane()
+test('a write in doubt is not refused, however long the store is unavailable', async (t) => {
+  // The first attempt may have been carried out. A caller that is told "not accepted" could see its job run.
+  const { store, write, run, stored, refused } = setUp()
   store.script = ['never', ...Array.from({ length: 20 }, () => 'busy' as const)]
   write('job', 'x', true)
   await run(900)
@@ -147,7 +147,7 @@
 })
 
 test('another owner ends the lane', async (t) => {
-  const { store, write, run, stored, lost } = lane()
+  const { store, write, run, stored, lost } = setUp()
   store.revisions.set(OWNER_KEY, 99)
   write('a', '1')
   await run(100)
@@ -156,9 +156,9 @@
 })
 
 test('a store that becomes slow is not taken for one that is away', async (t) => {
-  // Answers take 400 ms from one moment to the next. Given up over and over, they would look like an outage: jobs would be refused
-  // and other processes would take the cell from an owner that is well.
-  const { store, write, run, stored, writer } = lane()
+  // Answers suddenly take 400 ms. If each attempt were given up early, this would look like an outage: jobs would be refused, and other
+  // processes would take the cell from a working owner.
+  const { store, write, run, stored, writer } = setUp()
   write('a', '0')
   await run(100)
   store.answerMs = 400
@@ -172,10 +172,10 @@
   t.true(longestFailingMs < 900, `${longestFailingMs}`)
 })
 
-test('what never went out is refused while the store is silent, instead of waiting behind what did', async (t) => {
-  // The store falls silent with one transaction on the way. Jobs that come behind it would wait for an answer until their
-  // callers' time is over, although it is certain that nobody has stored them.
-  const { store, write, run, stored, refused } = lane()
+test('a write that was never sent is refused while the store is silent, instead of waiting behind one in flight', async (t) => {
+  // The store falls silent with one transaction in flight. Jobs behind it would wait until their callers' time is over, although they are
+  // certainly not stored.
+  const { store, write, run, stored, refused } = setUp()
   store.answerMs = 1_000_000
   write('on the way', 'x', true)
   await run(100)
@@ -189,10 +189,10 @@
   t.deepEqual(refused, ['behind'])
 })
 
-test('a lost answer costs little more than a second call', async (t) => {
-  // The store does what it is asked, and its answer never comes; the connection stays open. Callers of urgent work have half a second:
-  // waited for to the end, one lost answer in three would make most of them late.
-  const { store, write, run, stored } = lane()
+test('a lost answer delays a write by little more than a second call', async (t) => {
+  // The store carries the transaction out, its answer is lost, and the connection stays open. Callers of urgent work have half a second. If
+  // the owner waited for the full timeout, one lost answer in three would make most of them late.
+  const { store, write, run, stored } = setUp()
   store.script = ['silent', 'silent']
   write('a', '1')
   await run(350)
@@ -200,18 +200,19 @@
   t.true(store.transactions.length <= 3)
 })
 
-test('a slow answer is taken although the transaction has gone out again meanwhile', async (t) => {
-  // The store has become slow from one moment to the next, and nothing is lost. Given up, each answer would have to be waited for twice.
-  const { store, write, run, stored } = lane()
+test('a slow answer is used although the transaction has been sent again meanwhile', async (t) => {
+  // The store suddenly becomes slow, and no answer is lost. If the first attempt were given up, each answer would have to be waited for
+  // twice.
+  const { store, write, run, stored } = setUp()
   store.answerMs = 350
   write('a', '1')
   await run(380)
   t.deepEqual(stored, ['a=1'])
 })
 
-test('a store that is back is found soon, however long it was silent', async (t) => {
-  // Nothing is answered for four seconds. All callers of that time come back in the second after it.
-  const { store, write, run, stored } = lane()
+test('a store that is back is noticed soon, however long it was silent', async (t) => {
+  // The store does not answer for four seconds. All callers of that time retry in the second after it.
+  const { store, write, run, stored } = setUp()
   store.answerMs = 1_000_000
   write('a', '1')
   await run(4000)
@@ -220,26 +221,27 @@
   t.deepEqual(stored, ['a=1'])
 })
 
-test('a store that is silent is not flooded', async (t) => {
-  const { store, write, run } = lane()
+test('a silent store is not flooded with attempts', async (t) => {
+  const { store, write, run } = setUp()
   store.answerMs = 1_000_000
   write('a', '1')
   await run(4000)
   t.true(store.transactions.length <= 14, `${store.transactions.length}`)
 })
 
-test('connections that break at once are not tried without a pause', async (t) => {
-  const { store, write, run } = lane()
+test('there is a delay between attempts whose connections break at once', async (t) => {
+  const { store, write, run } = setUp()
   store.script = Array.from({ length: 1000 }, () => 'never' as const)
   write('a', '1')
   await run(1000)
   t.true(store.transactions.length <= 20, `${store.transactions.length}`)
 })
 
-test('what another owner prevented is not stored, also after a try in doubt', async (t) => {
-  // The first try had no answer and was not done; then another process took the cell. The lane is as it was, so it is certain that no
-  // try was done, and the ownership record never is again what they expect. Called unknown, the caller would get 504.
-  const { store, write, run, refused, unknown, lost } = lane()
+test('a write that another owner prevented is reported as not stored, even after an attempt in doubt', async (t) => {
+  // The first attempt has no answer and was not carried out; then another process takes the cell. The lane's record is unchanged, so no
+  // attempt was carried out, and the ownership record never returns to the expected revision. If the outcome were reported as unknown, the
+  // caller would get 504.
+  const { store, write, run, refused, unknown, lost } = setUp()
   store.script = ['never']
   write('job', 'x', true)
   await run(15)
@@ -249,22 +251,22 @@
   t.is(lost.length, 1)
 })
 
-test('what may have been stored before another owner came is unknown, not refused', async (t) => {
-  // The first try was done, its answer was lost, and the next owner has written the lane since. Called refused, the job would run
-  // although its caller was told that it doesn't.
-  const { store, write, run, refused, unknown } = lane()
+test('a write that may have been stored before another owner took over is reported as unknown, not refused', async (t) => {
+  // The first attempt was carried out, its answer was lost, and the next owner has written the lane since. If the write were refused, the
+  // job would run although its caller was told that it would not.
+  const { store, write, run, refused, unknown } = setUp()
   store.script = ['lost']
   write('job', 'x', true)
   await run(15)
   store.revisions.set(OWNER_KEY, 99)
-  store.revisions.set(LANE, 100)
-  store.values.set(LANE, 'somebody else')
+  store.revisions.set(LANE_KEY, 100)
+  store.values.set(LANE_KEY, 'somebody else')
   await run(200)
   t.deepEqual([refused, unknown], [[], ['job']])
 })
 
-test('when ownership ends, what never went out is refused, and what is on the way is told as it comes', async (t) => {
-  const { store, write, run, stored, refused, unknown, writer } = lane()
+test('when ownership ends, unsent writes are refused, and the outcome of the transaction in flight is reported', async (t) => {
+  const { store, write, run, stored, refused, unknown, writer } = setUp()
   store.answerMs = 50
   write('on the way', 'x', true)
   await run(20)
@@ -278,8 +280,8 @@
   t.deepEqual(unknown, [])
 })
 
-test('when ownership ends while the store is silent, what went out is unknown', async (t) => {
-  const { store, write, run, refused, unknown, writer } = lane()
+test('when ownership ends while the store is silent, the outcome of sent writes is unknown', async (t) => {
+  const { store, write, run, refused, unknown, writer } = setUp()
   store.answerMs = 1_000_000
   write('on the way', 'x', true)
   await run(300)
@@ -288,53 +290,53 @@
   t.deepEqual([refused, unknown], [[], ['on the way']])
 })
 
-test('an owner that has refused all it had takes jobs again when the store is back', async (t) => {
-  // The store is busy for a while and all jobs on the way are refused, so that nothing is left to try. Callers that come after the outage
-  // would be told for ever that the store is away.
-  const { store, write, run, stored, refused, writer } = lane()
+test('an owner that has refused all its jobs accepts jobs again when the store is back', async (t) => {
+  // The store is busy for a while and all pending jobs are refused, so that no write is left to try. Otherwise, later callers would be told
+  // for ever that the store is unavailable.
+  const { store, write, run, stored, refused, writer } = setUp()
   store.script = Array.from({ length: 20 }, () => 'busy' as const)
   write('job', 'x', true)
   await run(2000)
   t.deepEqual(refused, ['job'])
-  t.true(writer.isOut)
+  t.true(writer.isStoreUnavailable)
   store.script = []
-  writer.noteReached()
-  t.false(writer.isOut)
+  writer.onStoreAnswered()
+  t.false(writer.isStoreUnavailable)
   write('next', 'x', true)
   await run(100)
   t.deepEqual(stored, ['next=x'])
 })
 
-test('a lane that still waits for an answer counts the store as away, whatever else the store answers', async (t) => {
-  const { store, write, run, writer } = lane()
+test('a lane that still waits for an answer considers the store unavailable, whatever else the store answers', async (t) => {
+  const { store, write, run, writer } = setUp()
   store.answerMs = 1_000_000
   write('job', 'x', true)
   await run(2000)
-  writer.noteReached()
-  t.true(writer.isOut)
+  writer.onStoreAnswered()
+  t.true(writer.isStoreUnavailable)
 })
 
-test('a store that has been silent is written to again as soon as it answers anything', async (t) => {
-  // The next try of a write was 400 ms away, in which callers were refused beside a store that was well.
-  const { store, write, run, stored, writer } = lane()
+test('a write is sent again as soon as a store that was silent answers any call', async (t) => {
+  // The next attempt is 400 ms away. Until then callers would be refused although the store works.
+  const { store, write, run, stored, writer } = setUp()
   store.script = Array.from({ length: 9 }, () => 'silent-undone')
   write('a', '1')
   await run(2150)
   const tries = store.transactions.length
   t.deepEqual(stored, [])
   store.script = []
-  writer.noteReached()
+  writer.onStoreAnswered()
   await run(10)
   t.is(store.transactions.length, tries + 1)
   t.deepEqual(stored, ['a=1'])
 })
 
-test('an answer of the store makes no second try of a write that is on its way as usual', async (t) => {
-  const { store, write, run, writer } = lane()
+test('an answer of the store causes no second attempt of a write that is in flight and not overdue', async (t) => {
+  const { store, write, run, writer } = setUp()
   store.answerMs = 30
   write('a', '1')
   await run(20)
-  writer.noteReached()
+  writer.onStoreAnswered()
   await run(100)
   t.is(store.transactions.length, 1)
 })
--- a/src/cell/StoredCell.ts
+++ b/src/cell/StoredCell.ts
@@ -1,5 +1,5 @@
 /**
- * What earlier owners left in the store, as the next one reads and takes it over.
+ * Reads the records of earlier owners from the store, and restores the jobs from them.
  */
 
 import { applyProgress, decodeAccepted, decodeOutcome } from '../common/cell/JobRecord.js'
@@ -10,16 +10,16 @@
 import type { HostSessions } from './HostSessions.js'
 import { JOB_PREFIX, LANE_PREFIX, PROGRESS_PREFIX } from './Keys.js'
 
-const READ_RETRY_MS = 100
+const READ_RETRY_DELAY_MS = 100
 
 export interface IStoredCell {
-  /** The revisions of the lanes' records, by key. */
+  /** Revisions of the lanes' records, by key. */
   readonly laneRevisions: ReadonlyMap<string, number>
   readonly accepted: readonly IMetadataItem[]
   readonly progress: readonly IMetadataItem[]
   readonly hosts: readonly IMetadataItem[]
-  /** How long the store took to answer just now, in ms. */
-  readonly storeAnswerMs: number
+  /** How long the store took to answer the read of the lanes, in ms. */
+  readonly storeLatencyMs: number
 }
 
 export interface IStoredCellContext {
@@ -28,17 +28,17 @@
   readonly log: ILogger
 }
 
-/** Reads until all is read, or nobody wants it any more: then the rest is empty. */
+/** Retries until all records are read. If `isWanted` returns false meanwhile, the remaining ones stay empty. */
 export async function readStoredCell (context: IStoredCellContext, hostsPrefix: string, isWanted: () => boolean): Promise<IStoredCell> {
   const { clock } = context
   const startedAtMs = clock.nowMs()
-  let storeAnswerMs = 0
+  let storeLatencyMs = 0
   const readAll = async (prefix: string): Promise<readonly IMetadataItem[]> => await readPrefix(context, prefix, isWanted)
   const [lanes, accepted, progress, hosts] = await Promise.all([
-    readAll(LANE_PREFIX).finally(() => { storeAnswerMs = clock.nowMs() - startedAtMs }),
+    readAll(LANE_PREFIX).finally(() => { storeLatencyMs = clock.nowMs() - startedAtMs }),
     readAll(JOB_PREFIX), readAll(PROGRESS_PREFIX), readAll(hostsPrefix)
   ])
-  return { laneRevisions: new Map(lanes.map((item) => [item.key, item.revision])), accepted, progress, hosts, storeAnswerMs }
+  return { laneRevisions: new Map(lanes.map((item) => [item.key, item.revision])), accepted, progress, hosts, storeLatencyMs }
 }
 
 async function readPrefix ({ store, clock, log }: IStoredCellContext, prefix: string, isWanted: () => boolean): Promise<readonly IMetadataItem[]> {
@@ -46,12 +46,12 @@
     const read = await store.range(prefix)
     if (read.kind === 'read') return read.value.items
     log.warn('owner.readFailed', { prefix, reason: read.reason })
-    await new Promise<void>((resolve) => { clock.after(READ_RETRY_MS, resolve) })
+    await new Promise<void>((resolve) => { clock.after(READ_RETRY_DELAY_MS, resolve) })
   }
   return []
 }
 
-/** Takes over the jobs; one that can't be read is left out, so that it doesn't keep the others from going on. */
+/** Restores all jobs. A job that can't be decoded is left out, so that it doesn't prevent the others from continuing. */
 export function restoreJobs (stored: IStoredCell, scheduler: CellScheduler, hosts: HostSessions, { clock, log }: IStoredCellContext): void {
   const accepted = new Map(stored.accepted.map((item) => [item.key.slice(JOB_PREFIX.length), item.value]))
   const progress = new Map(stored.progress.map((item) => [item.key.slice(PROGRESS_PREFIX.length), item.value]))
@@ -71,5 +71,5 @@
   const job = accepted === undefined ? decodeOutcome(jobId, progress ?? '', nowMs) : decodeAccepted(accepted, nowMs, clock.wallMs())
   const runs = accepted === undefined || progress === undefined ? [] : applyProgress(job, progress)
   if (job.isFinished) job.finishedAtMs = nowMs
-  scheduler.restore(job, runs, (hostId, bornMs) => hosts.hostOf(hostId, bornMs))
+  scheduler.restore(job, runs, (hostId, bornMs) => hosts.getOrAddHost(hostId, bornMs))
 }
--- a/src/cell/Types.ts
+++ b/src/cell/Types.ts
@@ -1,23 +1,23 @@
 /**
- * What the parts of a cell's process take from each other and from the adapter of the platform.
+ * Interfaces between the parts of a cell's process, and with the adapter of the platform.
  */
 
 import type { IncomingHttpHeaders } from 'node:http'
 import type { Result } from 'neverthrow'
 import type { ICellConfig, IHostEntry, IJobSpec, IMetadataItem, JobPhase } from '../common/cell/Types.js'
 
-/** The bodies that callers send and get. */
+/** Encoding of the bodies that callers send and receive. */
 export interface ICallerWire {
   isJobId (text: string): boolean
-  /** The job in a body, or what is wrong with it. */
+  /** Decodes a job from a request body, or returns what is wrong with the body. */
   decodeJob (jobId: string, body: Uint8Array): Result<IJobSpec, string>
   encodePhase (phase: JobPhase): string
   encodeWaiting (count: number): string
-  /** How long the caller goes on waiting, if it says so. */
+  /** How long the caller goes on waiting, in ms; undefined if its request doesn't say so. */
   remainingMs (headers: IncomingHttpHeaders): number | undefined
 }
 
-/** The records of others in the store. */
+/** Records in the store that other programs write. */
 export interface ICellRecords {
   readonly operatorPrefix: string
   readonly configKey: string
@@ -26,11 +26,11 @@
   decodeHostEntry (item: IMetadataItem): IHostEntry | undefined
 }
 
-/** Who owns the cell, as the store tells. */
+/** The ownership record of the cell, as stored. */
 export interface IOwnerRecord {
   readonly processId: string
   readonly incarnation: number
   readonly peerUrl: string
-  /** The revision of the record: the fencing token of this ownership. */
+  /** The revision of the record, which is the fencing token of this ownership. */
   readonly revision: number
 }
--- a/src/cell/WatchedPrefix.ts
+++ b/src/cell/WatchedPrefix.ts
@@ -1,6 +1,6 @@
 /**
- * Follows all records under a prefix: a whole read first, then a loop of long polls. Starts over where the store has
- * forgotten what lies between, and asks again on a new connection where a poll goes silent.
+ * Watches all records under a prefix: one read of everything, then a loop of long polls. Reads everything again if the store has discarded
+ * the history in between, and repeats a poll on a new connection if its connection falls silent.
  */
 
 import type { IMetadataItem, IMetadataStore } from '../common/cell/Types.js'
@@ -8,9 +8,9 @@
 import type { IClock, IDisposable, ITimers, MonotonicMs } from '../common/Types.js'
 
 export interface IWatchListener {
-  /** Everything that is there, as of one read. */
+  /** All records under the prefix, as of one read. */
   onAll (items: readonly IMetadataItem[], revision: number): void
-  /** One record that was written, or deleted where `item` is absent. */
+  /** One record was written, or deleted if `item` is undefined. */
   onChange (key: string, item: IMetadataItem | undefined, revision: number): void
 }
 
@@ -20,20 +20,20 @@
   readonly waitMs: number
 }
 
-const RETRY_MS = 150
-/** A poll that a slow store answers is answered within this time, in ms. */
-const CURRENT_MS = 2000
-/** How long a poll waits while the store is lost, in ms: no longer than it takes to find that the store is back. */
-const PROBE_WAIT_MS = 0
-/** Polls that fail in a row before everything is read anew: what the poll went on from may be what is wrong. */
-const FAILURES_TO_READ = 4
+const RETRY_DELAY_MS = 150
+/** Even a slow store answers a poll within this time, in ms. */
+const MAX_CURRENT_AGE_MS = 2000
+/** How long a poll waits during an outage, in ms: none, so that a store that is back is noticed at once. */
+const OUTAGE_POLL_WAIT_MS = 0
+/** Number of consecutive failed polls after which everything is read again, because the revision from which the polls continue may be wrong. */
+const MAX_POLL_FAILURES = 4
 
 type Step = 'read' | 'poll'
 
-/** The store as it has been since its last answer. */
-interface ILoss {
+/** An outage of the store: the calls that have failed since its last answer. */
+interface IOutage {
   readonly tries: number
-  /** The last try that failed: what it was, and how it ended. */
+  /** The kind of the last failed call, and why it failed. */
   readonly step: Step
   readonly reason: string
 }
@@ -41,7 +41,7 @@
 export class WatchedPrefix implements IDisposable {
   private readonly _abort = new AbortController()
   private _failures = 0
-  private _loss: ILoss | undefined
+  private _outage: IOutage | undefined
   private _answeredAtMs: MonotonicMs = -Infinity
   private _readMs = 0
 
@@ -53,19 +53,19 @@
     private readonly _log: ILogger
   ) {}
 
-  /** How long the last whole read took, in ms: tells how far the store is. */
+  /** How long the last read of everything took, in ms: a measure of the distance to the store. */
   public get readMs (): number {
     return this._readMs
   }
 
-  /** How long ago the store last answered this watch, in ms: the age of what is known of the prefix. */
+  /** Time since the store last answered this watch, in ms: the age of what is known of the prefix. */
   public get ageMs (): number {
     return this._timers.nowMs() - this._answeredAtMs
   }
 
-  /** Whether the store has answered this watch of late. */
+  /** Whether the store has answered this watch recently. */
   public get isCurrent (): boolean {
-    return this.ageMs < CURRENT_MS
+    return this.ageMs < MAX_CURRENT_AGE_MS
   }
 
   public start (): void {
@@ -80,40 +80,40 @@
     while (!this._isDisposed) {
       const revision = await this._readAll()
       if (revision === undefined) await this._pause()
-      else await this._follow(revision)
+      else await this._pollChanges(revision)
     }
   }
 
   private async _readAll (): Promise<number | undefined> {
-    const beganAtMs = this._timers.nowMs()
+    const startedAtMs = this._timers.nowMs()
     const read = await this._store.range(this._options.prefix)
-    this._readMs = this._timers.nowMs() - beganAtMs
+    this._readMs = this._timers.nowMs() - startedAtMs
     if (this._isDisposed) return undefined
     if (read.kind === 'failed') {
-      this._noteFailed('read', read.reason)
+      this._recordFailure('read', read.reason)
       return undefined
     }
-    this._noteAnswered('read')
+    this._recordAnswer('read')
     this._listener.onAll(read.value.items, read.value.revision)
     return read.value.revision
   }
 
-  private async _follow (fromRevision: number): Promise<void> {
+  private async _pollChanges (fromRevision: number): Promise<void> {
     let revision = fromRevision
     this._failures = 0
-    while (!this._isDisposed && this._failures < FAILURES_TO_READ) {
-      const waitMs = this._loss === undefined ? this._options.waitMs : PROBE_WAIT_MS
+    while (!this._isDisposed && this._failures < MAX_POLL_FAILURES) {
+      const waitMs = this._outage === undefined ? this._options.waitMs : OUTAGE_POLL_WAIT_MS
       const outcome = await this._store.watch(this._options.prefix, revision, waitMs, this._abort.signal)
       if (this._isDisposed || outcome.kind === 'historyGone') return
       if (outcome.kind === 'failed') {
         this._failures += 1
-        this._noteFailed('poll', outcome.reason)
+        this._recordFailure('poll', outcome.reason)
         await this._pause()
         continue
       }
       this._failures = 0
-      this._noteAnswered('poll')
-      // A revision below ours would mean that the store has lost its past: nothing between can be trusted.
+      this._recordAnswer('poll')
+      // A revision lower than the previous one means that the store has lost part of its history, so everything has to be read again.
       if (outcome.revision < revision) return
       revision = outcome.revision
       for (const { key, item, revision: at } of outcome.events) this._listener.onChange(key, item, at)
@@ -121,25 +121,25 @@
   }
 
   private async _pause (): Promise<void> {
-    await new Promise<void>((resolve) => { this._timers.after(RETRY_MS, resolve) })
+    await new Promise<void>((resolve) => { this._timers.after(RETRY_DELAY_MS, resolve) })
   }
 
-  private _noteFailed (step: Step, reason: string): void {
-    if (this._loss === undefined) this._log.warn('watch.lost', { prefix: this._options.prefix, step, reason })
-    this._loss = { tries: (this._loss?.tries ?? 0) + 1, step, reason }
+  private _recordFailure (step: Step, reason: string): void {
+    if (this._outage === undefined) this._log.warn('watch.lost', { prefix: this._options.prefix, step, reason })
+    this._outage = { tries: (this._outage?.tries ?? 0) + 1, step, reason }
   }
 
-  private _noteAnswered (step: Step): void {
-    const loss = this._loss
-    if (loss !== undefined) {
-      const { tries, step: lastStep, reason: lastReason } = loss
+  private _recordAnswer (step: Step): void {
+    const outage = this._outage
+    if (outage !== undefined) {
+      const { tries, step: lastStep, reason: lastReason } = outage
       this._log.info('watch.regained', { prefix: this._options.prefix, step, ageMs: this._loggedAgeMs(), tries, lastStep, lastReason })
     }
-    this._loss = undefined
+    this._outage = undefined
     this._answeredAtMs = this._timers.nowMs()
   }
 
-  /** Absent where the store has never answered. */
+  /** Undefined if the store has never answered. */
   private _loggedAgeMs (): number | undefined {
     return this._answeredAtMs === -Infinity ? undefined : Math.round(this.ageMs)
   }
