--- a/src/common/policy/AcceleratorReserve.ts
+++ b/src/common/policy/AcceleratorReserve.ts
@@ -1,10 +1,13 @@
 /**
- * Whether the room that free accelerators need is kept from work without accelerators.
+ * Decides whether the cores and memory that free accelerators need are kept from work without accelerators.
  */
 
 import type { IClock, MonotonicMs } from '../Types.js'
 
-/** Longer than the gaps of a steady stream of accelerator work; a cell that sees none loses no more than this of its room. */
+/**
+ * Longer than the gaps in a steady stream of accelerator work; without such work, a cell loses the reserved capacity
+ * for no longer than this.
+ */
 const KEPT_MS = 30_000
 
 export class AcceleratorReserve {
@@ -12,20 +15,21 @@
 
   public constructor (private readonly _clock: IClock) {}
 
-  /** Accelerator work has arrived. */
+  /** Records that accelerator work has arrived, which extends the reserve. */
   public noteArrival (): void {
     this._endsAtMs = this._clock.nowMs() + KEPT_MS
   }
 
   /**
-   * Made for a cell in which most hosts have accelerators and no work wants them for a while. If their room were kept for
-   * ever, plain work would wait beside idle hosts: one sees a queue and free cores at the same time, for ever.
+   * Whether the capacity is reserved now. The reserve expires because most hosts of a cell may have accelerators that
+   * no work needs for a while. If their capacity were kept for ever, plain work would stay in the queue beside idle
+   * hosts.
    */
   public get isKept (): boolean {
     return this._clock.nowMs() < this._endsAtMs
   }
 
-  /** When the room opens, unless accelerator work arrives before. */
+  /** When the reserve ends, unless accelerator work arrives before. */
   public get endsAtMs (): MonotonicMs {
     return this._endsAtMs
   }
--- a/src/common/policy/Admission.test.ts
+++ b/src/common/policy/Admission.test.ts
@@ -41,10 +41,11 @@
 }
 
 /*
- * Requests arrive at several times the rate at which the host serves them. Callers would wait until their deadlines and get nothing;
- * instead the surplus is refused at once, and whoever is let in is served in time.
+ * Requests arrive at several times the rate at which the host serves them. If all were queued, callers would wait until
+ * their deadlines without an answer; instead the surplus is refused at once and the admitted requests are served in
+ * time.
  */
-test('the surplus is refused at once and what is admitted is served in time', (t) => {
+test('surplus requests are refused at once and admitted requests are served in time', (t) => {
   const { admit, pass, given } = busyEngine()
   let refused = 0
   for (let i = 0; i < 200; i++) {
@@ -56,9 +57,10 @@
 })
 
 /*
- * The same, but each request comes from another caller. None of them has a backlog of its own, and yet together they are far too many.
+ * As above, but each request comes from another caller. No caller has a backlog of its own, yet together they exceed
+ * the capacity.
  */
-test('the surplus is refused, too, when each request is of another caller', (t) => {
+test('surplus requests are also refused when each comes from another caller', (t) => {
   const { admit, pass, given } = busyEngine()
   let refused = 0
   for (let i = 0; i < 200; i++) {
@@ -70,10 +72,10 @@
 })
 
 /*
- * A refused caller does as told and comes back later, while new callers keep arriving. If the room went to the newcomers, the same
- * caller would be refused again each time, however often it returned.
+ * A refused caller returns at its retry time while new callers keep arriving. If the capacity went to the new callers,
+ * the same caller would be refused on each return.
  */
-test('a refused request that comes back when told to is admitted', (t) => {
+test('a refused request that returns at its retry time is admitted', (t) => {
   const { admit, pass } = busyEngine()
   const due: { readonly id: string, readonly atMs: number }[] = []
   let nowMs = 0
@@ -93,7 +95,7 @@
   t.true(met / returned >= 0.9, `${met} of ${returned} met`)
 })
 
-test('times to come back are spread', (t) => {
+test('retry delays have jitter', (t) => {
   const { admit } = busyEngine()
   const times = new Set<number>()
   for (let i = 0; i < 100; i++) {
@@ -103,7 +105,7 @@
   t.true(times.size > 20)
 })
 
-test('what can never run is refused with the reason', (t) => {
+test('work that can never run is refused with a reason', (t) => {
   const { engine } = engineWith('resources', host('h1'))
   engine.putTeam({ name: 'small', maxSlots: 1, maxCores: 2, maxAccelerators: 0 })
   const large = engine.admit(work('large', { resources: { cores: 9, memoryBytes: 0, accelerators: 0 } }))
--- a/src/common/policy/Admission.ts
+++ b/src/common/policy/Admission.ts
@@ -1,5 +1,5 @@
 /**
- * Whether work may wait here: by the wait to expect against its deadline, from the drain rate that was measured.
+ * Decides whether work may be queued, by comparing its expected wait at the measured drain rate with its deadline.
  */
 
 import { DrainRate } from './DrainRate.js'
@@ -9,39 +9,42 @@
 import type { ProfileQueue } from './ProfileQueue.js'
 import type { AdmitDecision, IWorkItem } from './Types.js'
 
-/** The most items waiting in one engine, for memory: about 500 bytes each. */
+/** The most items queued in one engine; limits memory, at about 500 bytes an item. */
 const MAX_QUEUED = 200_000
 
-/** While the wait is below this share of what the deadline allows, newcomers are taken in whatever was promised to others. */
+/** Below this share of the allowed wait, first-time work is admitted whatever was promised to refused work. */
 const UNPROMISED_SHARE = 0.3
 
-/** Newcomers beyond that are taken in as long as the wait with all promises stays below this share. */
+/** Above that, first-time work is admitted while the wait including all promises stays below this share. */
 const NEWCOMER_SHARE = 0.7
 
-/** Those who come back find room as long as the wait stays below this share: the rest covers an error in the rate. */
+/** Returning work is admitted while the wait stays below this share; the rest covers an error in the rate. */
 const RETURNER_SHARE = 0.9
 
-/** Times to come back: not so soon that refusing costs more than running, not so late that callers forget. */
+/**
+ * Bounds of the retry delay: below the minimum, refusing costs more than running; above the maximum, callers forget to
+ * return.
+ */
 const MIN_RETRY_AFTER_MS = 100
 const MAX_RETRY_AFTER_MS = 600_000
 
-/** When nothing is known about when it will be better. */
+/** The retry delay when nothing is known about when capacity will be available. */
 const UNKNOWN_RETRY_AFTER_MS = 1_000
 
-/** Times to come back are spread by up to this share, so that the refused don't come back together. */
+/** Retry delays get random jitter of up to this share, so that refused callers don't return at the same moment. */
 const RETRY_SPREAD = 0.3
 
-/** A drain rate below this is taken as this, so that a stalled profile gives a long wait and no division by zero. */
+/** The lower limit of the drain rate, so that a stalled profile gives a long wait and no division by zero. */
 const LEAST_DRAIN_PER_MS = 1e-6
 
 export interface IAdmissionRequest {
   readonly item: IWorkItem
   readonly queue: ProfileQueue
   readonly costMs: number
-  /** How long it may wait and still end in time, in milliseconds. */
+  /** How long the item may wait and still end in time, in milliseconds. */
   readonly slackMs: number
   readonly totalQueued: number
-  /** The share of the capacity that the profile could have now, for the time before its rate is measured. */
+  /** The share of the capacity that the profile could use now; serves as its drain rate until the rate is measured. */
   readonly priorRate: number
 }
 
@@ -56,13 +59,16 @@
   public constructor (private readonly _clock: IClock, private readonly _random: IRandom) {}
 
   /**
-   * Takes the work in or refuses it at once.
+   * Admits the work or refuses it at once.
    *
-   * Made for demand at twice the capacity and more. Taking everything in makes each wait longer than its deadline: one
-   * sees hosts busy with work whose callers have left, and no answer in time. Refusing by the expected wait keeps what is
-   * taken in within its deadline. What is refused gets a time by which the backlog, with all earlier promises, will have
-   * drained, and the room then is kept for it: without that, newcomers take it and the same caller is refused again and
-   * again. A caller's own backlog counts rather than that of a caller who floods the profile.
+   * Under demand of twice the capacity and more, admitting everything would make each wait longer than its deadline:
+   * hosts would work for callers that have left, and no answer would arrive in time. Refusing by the expected wait
+   * keeps the admitted work within its deadline.
+   *
+   * Refused work gets a retry time by which the backlog, including all earlier promises, will have drained, and the
+   * capacity at that time is promised to it. Without a promise, first-time work would use that capacity and the same
+   * caller would be refused again and again. A caller's wait is computed from its own backlog, so that one caller that
+   * floods the profile doesn't delay the others.
    */
   public decide (request: IAdmissionRequest): AdmitDecision {
     const nowMs = this._clock.nowMs()
@@ -83,7 +89,7 @@
     return { admitted: false, reason, detail, retryAfterMs: this.spread(UNKNOWN_RETRY_AFTER_MS) }
   }
 
-  /** The wait that the profile's last item would have now. */
+  /** The wait that the last queued item of the profile would have now. */
   public expectedWaitMs (queue: ProfileQueue, priorRate: number): number {
     if (queue.queuedCount === 0) return 0
     const perMs = this._state(queue.profile.name).rate.perMs(priorRate, this._clock.nowMs())
@@ -113,7 +119,10 @@
     return { admitted: false, reason: 'overloaded', detail, retryAfterMs }
   }
 
-  /** The lesser of the whole queue's wait and the caller's own, were the profile shared evenly among its callers. */
+  /**
+   * The smaller of the whole queue's wait and the caller's own wait if the profile were shared evenly among its
+   * callers.
+   */
   private _waitMs (request: IAdmissionRequest, perMs: number, promised: ReturnBook | undefined): number {
     const { queue, item, costMs } = request
     const share = queue.caller(item.caller)
@@ -132,7 +141,10 @@
   }
 }
 
-/** Attempts of one request share its id up to the number sign, so that a promise holds for the next attempt too. */
+/**
+ * Attempts of one request share the part of the id before the number sign, so that a promise also holds for the next
+ * attempt.
+ */
 function promiseKey (item: IWorkItem): string {
   const end = item.id.indexOf('#')
   return end < 0 ? item.id : item.id.slice(0, end)
--- a/src/common/policy/CapacityLedger.ts
+++ b/src/common/policy/CapacityLedger.ts
@@ -1,5 +1,5 @@
 /**
- * What runs where and how much of each host that takes: the only place that counts capacity.
+ * Records what runs on each host and how much capacity it uses. No other part of the engine counts capacity.
  */
 
 import { addInto, CORE_ROUNDING, difference, dominantShare, fits, larger, subtractFrom, zeroResources } from './Resources.js'
@@ -12,22 +12,22 @@
   readonly item: IWorkItem
   readonly host: LedgerHost
   readonly startedAtMs: MonotonicMs
-  /** The larger of declared and reported use. */
+  /** The larger of declared and reported usage. */
   counted: IResources
-  /** Set once it was asked to stop, so that it isn't asked twice. */
+  /** Set once a stop was requested, so that it isn't requested twice. */
   isStopping: boolean
 }
 
-/** Told whenever the free room of a host has changed. */
+/** Notified whenever the free capacity of a host has changed. */
 export interface IHostObserver {
   hostChanged (host: LedgerHost): void
   hostRemoved (host: LedgerHost): void
 }
 
-/** One host's account. */
+/** The capacity accounting of one host. */
 export class LedgerHost {
   public readonly used: IMutableResources = zeroResources()
-  /** Room kept for tasks of all-at-once jobs that have not started. */
+  /** Capacity held for tasks of all-at-once jobs that have not started. */
   public readonly held: IMutableResources = zeroResources()
   public readonly running = new Map<string, IRunningItem>()
 
@@ -37,17 +37,17 @@
     return this.config.hostId
   }
 
-  /** Failure domains bear the same names in several regions, so the region is part of the key. */
+  /** The same failure domain name may occur in several regions, so the region is part of the key. */
   public get domainKey (): string {
     return `${this.config.region}/${this.config.failureDomain}`
   }
 
-  /** Whether any room is held here. */
+  /** Whether any capacity of the host is held. */
   public get hasHolds (): boolean {
     return this.held.cores > 0 || this.held.memoryBytes > 0 || this.held.accelerators > 0
   }
 
-  /** Room that is neither used nor held. May be negative when reported use exceeds the capacity. */
+  /** Capacity that is neither used nor held. Negative in a dimension where reported usage exceeds the capacity. */
   public free (): IResources {
     const { capacity } = this.config
     return {
@@ -57,7 +57,7 @@
     }
   }
 
-  /** Room that is not used, held or not. */
+  /** Capacity that is not used, whether held or not. */
   public unused (): IResources {
     return difference(this.config.capacity, this.used)
   }
@@ -78,7 +78,7 @@
     return this._running.size
   }
 
-  /** Hosts forgotten so far. */
+  /** The number of hosts removed so far. */
   public get removals (): number {
     return this._removals
   }
@@ -111,7 +111,7 @@
     this._observer.hostChanged(host)
   }
 
-  /** Forgets a host and what ran there; the caller settles the items that it gets back. */
+  /** Removes a host and what ran there; the caller of this method settles the returned items. */
   public removeHost (hostId: string): readonly IRunningItem[] {
     const host = this._hosts.get(hostId)
     if (host === undefined) return []
@@ -124,7 +124,7 @@
     return lost
   }
 
-  /** Whether any accepting host, were it empty, could hold this. */
+  /** Whether any accepting host could hold this if it were empty. */
   public isFeasible (need: IResources): boolean {
     for (const shape of this._shapes.values()) {
       if (fits(need, shape.capacity)) return true
@@ -138,8 +138,9 @@
   }
 
   /**
-   * Counts an item on a host, at first for `counted`: what it declared or what its service was seen to use.
-   * Whoever places has looked for room; a takeover counts what already runs, room or not.
+   * Counts an item on a host, at first as `counted`: what it declared or what its service was seen to use. Checking the
+   * free capacity is up to the caller of this method, since a takeover counts running work even where it exceeds the
+   * capacity.
    */
   public start (item: IWorkItem, host: LedgerHost, counted: IResources, nowMs: MonotonicMs): IRunningItem {
     const running: IRunningItem = { item, host, startedAtMs: nowMs, counted, isStopping: false }
@@ -156,11 +157,11 @@
   }
 
   /**
-   * Counts the larger of declared and reported use.
+   * Updates a running item to the larger of declared and reported usage.
    *
-   * Made for declared sizes that are far too small: counting them as declared would fill the host beyond what it has,
-   * which shows as tasks killed for want of memory. A report below the declared size frees nothing, because the task
-   * may still grow to what it was promised.
+   * Declared sizes may be far too small: counting them as declared would overfill the host, and tasks would be killed
+   * for lack of memory. A report below the declared size frees nothing, because the task may still grow to its declared
+   * size.
    */
   public reportUsage (itemId: string, usage: IResources): IRunningItem | undefined {
     const running = this._running.get(itemId)
--- a/src/common/policy/DecisionEngine.test.ts
+++ b/src/common/policy/DecisionEngine.test.ts
@@ -16,7 +16,7 @@
   return Array.from({ length: count }, (_, i) => work(`${prefix}${i}`, changes))
 }
 
-test('requests go to the host with the fewest in flight, tasks to the tightest', (t) => {
+test('requests go to the host with the fewest in flight, tasks to the tightest fit', (t) => {
   const slots = engineWith('slots', host('h1', cores(2)), host('h2', cores(4)))
   admitAll(slots.engine, ...named(3, 's'))
   t.deepEqual(placed(slots.engine), { s0: 'h2', s1: 'h2', s2: 'h1' })
@@ -25,20 +25,20 @@
   t.deepEqual(Object.values(placed(tasks.engine)).sort(), ['h1', 'h1', 'h2'])
 })
 
-test('plain work leaves the room of free accelerators to accelerator work', (t) => {
+test('plain work leaves the capacity reserved for free accelerators to accelerator work', (t) => {
   const { engine } = engineWith('resources', host('gpu', { cores: 8, memoryBytes: 8, accelerators: 2 }), host('plain', { cores: 2, memoryBytes: 8, accelerators: 0 }))
   const accelerated = { resources: { cores: 1, memoryBytes: 1, accelerators: 1 } }
   engine.admit(work('a0', accelerated))
   t.deepEqual(placed(engine), { a0: 'gpu' })
   admitAll(engine, ...named(8, 'p'))
-  t.deepEqual(placed(engine), { p0: 'plain', p1: 'plain', p2: 'gpu', p3: 'gpu', p4: 'gpu' }, 'the free accelerator keeps half of its host')
+  t.deepEqual(placed(engine), { p0: 'plain', p1: 'plain', p2: 'gpu', p3: 'gpu', p4: 'gpu' }, 'the free accelerator reserves half of its host')
   engine.admit(work('a1', accelerated))
-  t.deepEqual(placed(engine), { a1: 'gpu', p5: 'gpu', p6: 'gpu', p7: 'gpu' }, 'once the accelerators are taken, the rest of their host is open to all')
+  t.deepEqual(placed(engine), { a1: 'gpu', p5: 'gpu', p6: 'gpu', p7: 'gpu' }, 'with all accelerators in use, their host is open to all work')
 })
 
 test('in a cell whose hosts all have accelerators, plain work waits only while accelerator work comes', (t) => {
-  // Every host has accelerators that nothing uses. Were their room kept for accelerator work for ever, plain tasks would
-  // stay in the queue beside idle hosts, and a job that was accepted would never start.
+  // Every host has accelerators that nothing uses. If their cores were kept for accelerator work for ever, plain tasks
+  // would stay in the queue beside idle hosts, and an accepted job would never start.
   const { clock, engine } = engineWith('resources', host('gpu', { cores: 8, memoryBytes: 8, accelerators: 1 }))
   engine.admit(work('first'))
   t.deepEqual(placed(engine), { first: 'gpu' })
@@ -51,14 +51,14 @@
   t.deepEqual(placed(engine), { second: 'gpu' })
 })
 
-test('a service to be spread uses each failure domain', (t) => {
+test('a service to be spread runs in each failure domain', (t) => {
   const domains = ['a', 'b', 'c'].map((failureDomain) => host(failureDomain, cores(8), { failureDomain }))
   const { engine } = engineWith('resources', ...domains)
   admitAll(engine, ...named(3, 's', { profile: profile({ spread: 'failureDomain' }) }))
   t.deepEqual(Object.values(placed(engine)).sort(), ['a', 'b', 'c'])
 })
 
-test('the tasks of a job to be spread use each failure domain, too', (t) => {
+test('the tasks of a job to be spread run in each failure domain', (t) => {
   const domains = ['a', 'b', 'c'].map((failureDomain) => host(failureDomain, cores(8), { failureDomain }))
   const { engine } = engineWith('resources', ...domains)
   engine.admitGroup('job', named(3, 'j', { profile: profile({ spread: 'failureDomain' }) }))
@@ -66,9 +66,10 @@
 })
 
 /*
- * A gateway sends a request again because the answer to the first copy was lost on the way. Queued twice, it would run twice.
+ * A gateway repeats a request because the answer to the first copy was lost. If it were queued twice, it would run
+ * twice.
  */
-test('an id that is queued or runs is refused as a duplicate', (t) => {
+test('an id that is queued or running is refused as a duplicate', (t) => {
   const { engine } = engineWith('slots', host('h1', cores(1)))
   admitAll(engine, work('runs'), work('waits'))
   placed(engine)
@@ -78,7 +79,7 @@
   t.deepEqual(placed(engine), { waits: 'h1' })
 })
 
-test('team quotas and the running limit of a profile hold', (t) => {
+test('team quotas and the running limit of a profile are enforced', (t) => {
   const { engine } = engineWith('resources', host('h1', cores(64)))
   engine.putTeam({ name: 'team', maxSlots: 100, maxCores: 3, maxAccelerators: 0 })
   admitAll(engine, ...named(5, 'q'), ...named(5, 'l', { team: 'other', profile: profile({ name: 'limited', maxRunning: 2 }) }))
@@ -89,7 +90,7 @@
   t.is(Object.keys(placed(engine)).length, 1)
 })
 
-test('a host that is leaving keeps what runs there and gets nothing new', (t) => {
+test('a host that is leaving keeps its running work and gets no new work', (t) => {
   const { engine } = engineWith('slots', host('h1', cores(2)))
   admitAll(engine, ...named(3, 's'))
   t.is(Object.keys(placed(engine)).length, 2)
@@ -100,10 +101,10 @@
 })
 
 /*
- * A task declares one core and takes six. The host shows less room than the declared sizes say, and whatever was placed by those
- * would run out of cores: its neighbours slow down.
+ * A task declares one core and uses six. If hosts were filled by declared sizes, its host would run out of cores and
+ * the other tasks there would slow down.
  */
-test('the larger of declared and reported use is counted', (t) => {
+test('the larger of declared and reported usage is counted', (t) => {
   const { engine } = engineWith('resources', host('h1', cores(8)))
   admitAll(engine, work('liar'))
   placed(engine)
@@ -111,10 +112,10 @@
   admitAll(engine, ...named(4, 's'))
   t.is(Object.keys(placed(engine)).length, 2)
   engine.reportUsage('liar', cores(0.1))
-  t.is(engine.load().used.cores, 3, 'a report below the declared size frees no more than what was over it')
+  t.is(engine.load().used.cores, 3, 'a report below the declared size frees only the usage above it')
 })
 
-test('a request that can no longer end in time is given up, at the time that was announced', (t) => {
+test('a request that can no longer end in time is given up at the announced wake time', (t) => {
   const { clock, engine } = engineWith('slots', host('h1', cores(1)))
   admitAll(engine, work('first'), work('late', { deadlineAtMs: 1_000 }))
   placed(engine)
@@ -124,10 +125,10 @@
 })
 
 /*
- * All slots are held by patient work that runs for minutes when an urgent stop arrives. Without a stop of patient work the pivot
- * would be in the ditch before a slot comes free.
+ * All slots are used by patient work that runs for minutes when an urgent request arrives. Without preemption no slot
+ * would come free before the urgent deadline.
  */
-test('urgent work preempts patient work, which keeps its floor', (t) => {
+test('urgent work preempts patient work down to its floor', (t) => {
   const { clock, engine } = engineWith('slots', host('h1', cores(4)))
   const patient = { ...PATIENT, floorShare: 0.5 }
   admitAll(engine, ...named(4, 'p', { profile: patient, declaredRunMs: 600_000 }))
@@ -140,14 +141,14 @@
   for (const id of stopped) engine.finished(id, 'stopped', 100)
   t.deepEqual(Object.keys(placed(engine)).sort(), ['u0', 'u1'])
   clock.advance(1_000)
-  t.deepEqual(decisions(engine), [], 'below its floor nothing more of it is stopped')
+  t.deepEqual(decisions(engine), [], 'no work of a profile at its floor is stopped')
 })
 
 /*
- * A host answers each request with an error within a millisecond, so it is always the freest. Callers see errors in far greater a
- * share than one host of ten could cause.
+ * A host answers each request with an error within a millisecond, so it is always the freest one. Without probation it
+ * would attract far more than a tenth of the requests, and callers would see that many errors.
  */
-test('a host that fails everything gets probes only, until it has healed', (t) => {
+test('a host that fails everything gets only probes until it has healed', (t) => {
   const hosts = Array.from({ length: 10 }, (_, i) => host(`h${i}`, cores(4)))
   const { clock, engine } = engineWith('slots', ...hosts)
   let isBroken = true
@@ -168,10 +169,10 @@
     }
   }
   t.true(lost > 0 && lost <= 20, `${lost} lost`)
-  t.true(placedOnBroken > 20, `${placedOnBroken} placed after it had healed`)
+  t.true(placedOnBroken > 20, `${placedOnBroken} placed after the host had healed`)
 })
 
-test('a service that fails everywhere puts no host on probation', (t) => {
+test('a service that fails on all hosts puts no host on probation', (t) => {
   const { clock, engine } = engineWith('slots', ...Array.from({ length: 10 }, (_, i) => host(`h${i}`, cores(4))))
   for (let i = 0; i < 500; i++) {
     engine.admit(work(`r${i}`))
@@ -181,7 +182,7 @@
   t.deepEqual(engine.dump()['onProbation'], [])
 })
 
-test('work found at a takeover is counted, also beyond the capacity', (t) => {
+test('work found at a takeover is counted even beyond the capacity', (t) => {
   const { engine } = engineWith('slots', host('h1', cores(1)))
   for (const item of named(2, 's')) engine.adopt(item, 'h1')
   engine.admit(work('new'))
@@ -192,10 +193,10 @@
 })
 
 /*
- * The host of a task's first attempt failed it. Were it placed there again, its retries would all be used up on one bad host; but with
- * no other host left, waiting for one would never end.
+ * The first attempt of a task failed on its host. If the task were placed there again, one bad host would use up all
+ * its retries; but if no other host is left, waiting for one would never end.
  */
-test('a retry avoids the host that failed it as long as there is another', (t) => {
+test('a retry avoids the host of the failed attempt while there is another host', (t) => {
   const { engine } = engineWith('slots', host('h1', cores(4)), host('h2', cores(1)))
   admitAll(engine, work('a', { avoidHostIds: ['h1'] }), work('b', { avoidHostIds: ['h1'] }))
   t.deepEqual(placed(engine), { a: 'h2' })
@@ -203,9 +204,9 @@
   t.deepEqual(placed(engine), { b: 'h1' })
 })
 
-test('what only hosts that have gone could hold is given up at once', (t) => {
-  // A shard changes hands while work waits for its hosts. Left in the queue, a job that the remaining hosts can't hold
-  // would be "accepted" for ever, though the new owner of the shard could start it.
+test('work that only removed hosts could hold is given up at once', (t) => {
+  // A shard changes its owner while work waits for its hosts. Left in the queue, a job that the remaining hosts can't
+  // hold would stay "accepted" for ever, though the new owner of the shard could start it.
   const { engine } = engineWith('resources', host('h1', cores(8)), host('h2', cores(8)), host('small', cores(2)))
   engine.adopt(work('r1', { resources: cores(8) }), 'h1')
   engine.adopt(work('r2', { resources: cores(8) }), 'h2')
@@ -213,7 +214,7 @@
   engine.admitGroup('job', named(2, 'job', { resources: cores(7) }))
   t.deepEqual(placed(engine), {})
   engine.putHost(host('h1', cores(8), { accepting: false }))
-  t.deepEqual(decisions(engine), [], 'a host that does not accept now may be back at any time')
+  t.deepEqual(decisions(engine), [], 'a host that does not accept work now may accept it again at any time')
   engine.removeHost('h1')
   t.deepEqual(decisions(engine).map((each) => each.type === 'giveUp' && [each.item.id, each.reason]), [['job0', 'infeasible'], ['job1', 'infeasible']])
   engine.removeHost('h2')
--- a/src/common/policy/DecisionEngine.ts
+++ b/src/common/policy/DecisionEngine.ts
@@ -1,5 +1,5 @@
 /**
- * The decision engine of one scheduler: takes events in and hands them to the class that each concerns.
+ * The decision engine of one scheduler: passes each event to the class that handles it.
  */
 
 import { Admission } from './Admission.js'
@@ -30,7 +30,10 @@
 import type { AdmitDecision, AttemptEnd, EngineDecision, IDecisionEngine, IEngineHost, IEngineLoad, IWorkItem } from './Types.js'
 import type { CapacityKind } from './UseLedger.js'
 
-/** Free slots below this share are kept from callers far above their even share: of 240, four. Costs that much use at most. */
+/**
+ * While the share of free slots is no larger than this (four of 240), they are kept from callers far above their even
+ * share. At most this share of the capacity stays unused as a result.
+ */
 const HEADROOM_SHARE = 0.02
 
 export interface IEngineOptions {
@@ -235,7 +238,10 @@
     return capacity.cores - used.cores <= HEADROOM_SHARE * capacity.cores
   }
 
-  /** The same id twice would be placed twice, and the end of one run would be taken for the end of both. */
+  /**
+   * Whether the id is queued or running. An id admitted twice would be placed twice, and the end of one run would be
+   * taken for the end of both.
+   */
   private _isKnown (itemId: string): boolean {
     return this._queue.has(itemId) || this._book.has(itemId) || this._ledger.runningItem(itemId) !== undefined
   }
@@ -257,8 +263,9 @@
 }
 
 /**
- * Two levels of room an octave and the exact number of accelerators. Urgent work and work that avoids hosts are apart,
- * because what keeps other work of the same size out need not hold for them; so is work that runs long.
+ * The lane of an item: its team and its shape, which has two levels per octave of cores and of memory, and the exact
+ * number of accelerators. The shape also contains the priority class, whether the item runs long and which hosts it
+ * avoids, because what blocks other work of the same size may not block these items.
  */
 function laneOf (item: IWorkItem, need: IResources, isLong: boolean): ILaneKey {
   const avoided = item.avoidHostIds?.join() ?? ''
--- a/src/common/policy/DecisionLoop.ts
+++ b/src/common/policy/DecisionLoop.ts
@@ -1,5 +1,5 @@
 /**
- * What to do next: give up, start all-at-once jobs, place, preempt, in this order.
+ * Finds the next decision: give up expired work, start all-at-once jobs, place an item or preempt, in this order.
  */
 
 import { classRank } from './FairQueue.js'
@@ -24,13 +24,16 @@
 import type { UseLedger } from './UseLedger.js'
 import type { WorkEstimates } from './WorkEstimates.js'
 
-/** A large item that has waited this long has a host emptied for it, as an all-at-once job of one task does. */
+/** A large item that has waited this long has a host drained for it, like an all-at-once job of one task. */
 const GATHER_FOR_ONE_AFTER_MS = 2_000
 
-/** From this share of an average host on, an item counts as large; smaller ones find a gap soon. */
+/**
+ * An item counts as large from this share of an average host on; smaller ones soon find a host with enough free
+ * capacity.
+ */
 const LARGE_SHARE_OF_HOST = 0.2
 
-/** What the loop decides with; built by the engine. */
+/** The components that the loop uses; created by the engine. */
 export interface ILoopParts {
   readonly clock: IClock
   readonly ledger: CapacityLedger
@@ -46,18 +49,18 @@
   readonly work: RunningWork
   readonly book: GroupBook
   readonly groups: GroupPlacer
-  /** The share of the capacity that a profile could have now. */
+  /** The share of the capacity that a profile could use now. */
   readonly priorRate: (queue: ProfileQueue) => number
 }
 
 export class DecisionLoop {
   private readonly _ready: EngineDecision[] = []
-  /** Shapes and teams found to have no room since room last came free. */
+  /** Shapes and teams for which no capacity was found since capacity last came free. */
   private readonly _blockedShapes = new Set<string>()
   private readonly _blockedTeams = new Set<string>()
   private readonly _stops: StopPlan
   private readonly _isLaneBlocked = (lane: ILaneKey): boolean => this._blockedShapes.has(lane.shape) || this._blockedTeams.has(lane.team)
-  /** Nothing to decide until then, unless something happens. */
+  /** Until this time there is nothing to decide, unless an event arrives. */
   private _settledUntilMs: MonotonicMs = -Infinity
   private _recheckAtMs: MonotonicMs = Infinity
   private _needsGroupAdvance = false
@@ -78,18 +81,18 @@
     return this._settledUntilMs > nowMs ? this._settledUntilMs : this._computeWakeAtMs(nowMs)
   }
 
-  /** Work was added: there may be something to decide. */
+  /** Work was added: a decision may be possible. */
   public noteWork (): void {
     this._settledUntilMs = -Infinity
   }
 
-  /** A group was added: it may start or have hosts emptied for it. */
+  /** A group was added: it may start or have hosts drained for it. */
   public noteGroup (): void {
     this._needsGroupAdvance = true
     this.noteWork()
   }
 
-  /** Room may have come free: what found none is tried again. */
+  /** Capacity may have come free: work that found none is tried again. */
   public noteRoom (): void {
     this._blockedShapes.clear()
     this._blockedTeams.clear()
@@ -101,7 +104,7 @@
     this.noteRoom()
   }
 
-  /** Moves reservations on without waiting for the next call. */
+  /** Advances reservations at once instead of at the next call of `next`. */
   public advanceGroups (): void {
     this._needsGroupAdvance = true
     this._advanceGroups(this._parts.clock.nowMs())
@@ -115,7 +118,7 @@
     return holds
   }
 
-  /** Finds the next decisions, if any, and puts them into `_ready`. */
+  /** Finds the next decisions, if any, and appends them to `_ready`. */
   private _decide (nowMs: MonotonicMs): void {
     if (nowMs < this._settledUntilMs) return
     if (this._settledUntilMs > -Infinity) this.noteRoom()
@@ -151,7 +154,7 @@
     return true
   }
 
-  /** All-at-once jobs take turns with the other work by the same rules: floor, class, weight. */
+  /** Whether the group goes before the first queued entry, by the rules for all work: floor, class, weight. */
   private _isTurnOf (group: IGroup, first: IQueueEntry | undefined): boolean {
     const [task] = group.tasks
     if (first === undefined || task === undefined) return true
@@ -192,7 +195,10 @@
     return undefined
   }
 
-  /** Whether room is kept for urgent work, or for a job that goes before this item and would start while it still runs. */
+  /**
+   * Whether the item must leave capacity to urgent work, or to a job that goes before it and would start while it still
+   * runs.
+   */
   private _isKeptOut (entry: IQueueEntry, nowMs: MonotonicMs): boolean {
     const { groups, queue, estimates, work } = this._parts
     if (queue.isBelowFloor(entry.queue)) return false
@@ -204,10 +210,10 @@
   }
 
   /**
-   * A place in room that is held for an all-at-once job, if the item will have ended before the job starts.
+   * Finds held capacity of an all-at-once job for an item that will have ended before the job starts.
    *
-   * Made for a large job that gathers room for seconds or minutes: without it, hosts stand idle meanwhile, which shows
-   * as capacity in use that falls with each large job.
+   * A large job may gather capacity for seconds or minutes. Without backfill its hosts would be idle meanwhile, and
+   * utilization would fall with each large job.
    */
   private _chooseBackfill (entry: IQueueEntry, nowMs: MonotonicMs): LedgerHost | undefined {
     const { groups, chooser, estimates, book } = this._parts
@@ -217,9 +223,8 @@
   }
 
   /**
-   * Has a host emptied for one large item, as for an all-at-once job of one task.
-   *
-   * Made for a large item among small ones, which fill each gap before it is large enough: it would wait for ever.
+   * Queues a large item as an all-at-once job of one task, so that a host is drained for it. Otherwise small items
+   * would fill each gap before it is large enough, and the large item would wait for ever.
    */
   private _gatherFor (entry: IQueueEntry, nowMs: MonotonicMs): void {
     const { item, need, latestStartAtMs } = entry
@@ -254,14 +259,17 @@
     for (const { itemId, hostId } of stops) this._ready.push({ type: 'preempt', itemId, hostId, forItemId: item.id })
   }
 
-  /** Whether something is due only later; then it is looked at again at that time. */
+  /** Whether something is due only later; if so, schedules a recheck at that time. */
   private _isTooEarly (dueAtMs: MonotonicMs, nowMs: MonotonicMs): boolean {
     if (dueAtMs <= nowMs) return false
     this._recheckAtMs = Math.min(this._recheckAtMs, dueAtMs)
     return true
   }
 
-  /** An accelerator that is taken opens what its host kept for it, so its start may make room for plain work. */
+  /**
+   * Starts an entry. The cores and memory reserved for an accelerator are open to plain work once the accelerator is in
+   * use, so starting accelerator work may free capacity.
+   */
   private _startEntry (entry: IQueueEntry, host: LedgerHost, nowMs: MonotonicMs): void {
     const { queue, work, admission } = this._parts
     queue.remove(entry.item.id)
--- a/src/common/policy/DrainRate.ts
+++ b/src/common/policy/DrainRate.ts
@@ -1,13 +1,16 @@
 /**
- * How fast the queue of one profile drains, measured while it has work waiting.
+ * Measures the rate at which the queue of one profile drains while it has work waiting.
  */
 
 import type { MonotonicMs } from '../Types.js'
 
-/** Long enough to smooth over single tasks, short enough to follow a host's loss within a deadline of seconds. */
+/**
+ * The averaging time: long enough to smooth out single tasks, short enough to follow the loss of a host within a
+ * deadline of seconds.
+ */
 const AVERAGED_OVER_MS = 2_000
 
-/** Until a backlog has lasted this long, the measurement says more about its first items than about the rate. */
+/** While a backlog is younger than this, the measurement depends more on its first items than on the rate. */
 const TRUSTED_AFTER_MS = 500
 
 export class DrainRate {
@@ -16,7 +19,7 @@
   private _updatedAtMs: MonotonicMs = 0
   private _backlogSinceMs: MonotonicMs | undefined
 
-  /** The queue has become non-empty. */
+  /** Starts measuring, when the queue becomes non-empty. */
   public startBacklog (nowMs: MonotonicMs): void {
     this._backlogSinceMs = nowMs
     this._updatedAtMs = nowMs
@@ -34,7 +37,10 @@
     this._weightedCostMs += costMs
   }
 
-  /** Cost drained per millisecond: the share of the capacity that the profile gets; `prior` before it is known. */
+  /**
+   * The cost drained per millisecond, which is the share of the capacity that the profile gets; `prior` until it is
+   * known.
+   */
   public perMs (prior: number, nowMs: MonotonicMs): number {
     if (this._backlogSinceMs === undefined) return prior
     this._advance(nowMs)
--- a/src/common/policy/EngineDifferential.test.ts
+++ b/src/common/policy/EngineDifferential.test.ts
@@ -26,7 +26,7 @@
 )
 type Command = typeof command extends fc.Arbitrary<infer T> ? T : never
 
-/** Drives an engine and keeps the plainest account of it: who waits, what runs where and at which size. */
+/** Drives an engine and tracks which items wait, and what runs where and at which size. */
 class Account {
   public readonly waiting = new Set<string>()
   public readonly running = new Map<string, { readonly hostId: string, size: number, readonly declared: number }>()
@@ -49,7 +49,7 @@
     this._carryOut()
   }
 
-  /** Ends all that runs until nothing waits any more. */
+  /** Ends all running work until nothing waits any more. */
   public drain (): void {
     for (const hostId of HOSTS) this._setAccepting(hostId, true)
     this._carryOut()
@@ -96,7 +96,7 @@
 
   private _cancel (id: string | undefined): void {
     if (id === undefined) return
-    if (this._engine.cancel(id) !== 'queued') throw new Error(`${id} waits, but not for the engine`)
+    if (this._engine.cancel(id) !== 'queued') throw new Error(`${id} waits, but is not queued in the engine`)
     this.waiting.delete(id)
   }
 
@@ -114,7 +114,7 @@
 
   private _lose (hostId: string): void {
     const lost = [...this.running].filter(([, place]) => place.hostId === hostId).map(([id]) => id)
-    if ([...this._engine.removeHost(hostId)].sort().join() !== lost.sort().join()) throw new Error('lost something else')
+    if ([...this._engine.removeHost(hostId)].sort().join() !== lost.sort().join()) throw new Error('removeHost returned the wrong items')
     for (const id of lost) this.running.delete(id)
     this._setAccepting(hostId, true)
   }
@@ -126,7 +126,7 @@
       const size = this._sizes.get(item.id) ?? 0
       if (!this.waiting.delete(item.id)) throw new Error(`${item.id} placed, but it doesn't wait`)
       if (this._accepting.get(hostId) !== true) throw new Error(`${item.id} placed on a leaving host`)
-      if (this.usedOn(hostId) + size > HOST_CORES) throw new Error(`${hostId} over its capacity`)
+      if (this.usedOn(hostId) + size > HOST_CORES) throw new Error(`${hostId} exceeds its capacity`)
       this.running.set(item.id, { hostId, size, declared: size })
     }
     this._checkGroups()
@@ -147,7 +147,7 @@
   return { ours, naive: new Account(new NaiveEngine(clocks[1]), clocks[1]) }
 }
 
-test('long sequences never put a host over its capacity, lose an item or run one twice', (t) => {
+test('long command sequences never exceed the capacity of a host, lose an item or run one twice', (t) => {
   fc.assert(fc.property(fc.array(command, { minLength: 50, maxLength: 500 }), (commands) => {
     const { ours } = accountsFor('resources')
     for (const [i, step] of commands.entries()) ours.apply(step, i)
@@ -157,7 +157,7 @@
   t.pass()
 })
 
-test('with equal sizes as much runs at each step as in the naive engine', (t) => {
+test('with equal sizes, as many items run at each step as in the naive engine', (t) => {
   fc.assert(fc.property(fc.array(command, { minLength: 50, maxLength: 500 }), (commands) => {
     const { ours, naive } = accountsFor('slots')
     for (const [i, command] of commands.entries()) {
--- a/src/common/policy/EngineReport.ts
+++ b/src/common/policy/EngineReport.ts
@@ -1,5 +1,5 @@
 /**
- * What an engine tells about itself: its load for peers, its state for a person.
+ * Reports the state of an engine: its load for other schedulers, a state dump for operators.
  */
 
 import { classRank } from './FairQueue.js'
@@ -13,7 +13,7 @@
 import type { IEngineLoad } from './Types.js'
 import type { UseLedger } from './UseLedger.js'
 
-/** Lines of each kind in a dump. */
+/** The maximum number of entries of each kind in a dump. */
 export const MAX_DUMPED = 100
 
 export class EngineReport {
@@ -50,7 +50,10 @@
     }
   }
 
-  /** The share that the profile could have: what profiles that go before it don't use, and its floor in any case. */
+  /**
+   * The share of the capacity that the profile could have: what the profiles that go before it leave unused, and at
+   * least its floor.
+   */
   public priorRate (queue: ProfileQueue): number {
     const rank = classRank(queue.profile.priorityClass)
     let others = 0
--- a/src/common/policy/FairQueue.test.ts
+++ b/src/common/policy/FairQueue.test.ts
@@ -37,7 +37,7 @@
   return entry
 }
 
-test('callers share by cost, not by the number of requests', (t) => {
+test('callers share capacity by cost, not by the number of requests', (t) => {
   const { queue } = queueWith()
   for (let i = 0; i < 60; i++) {
     add(queue, { id: `small-${i}`, caller: 'small', costMs: 1 })
@@ -47,7 +47,7 @@
   t.is(callers.filter((caller) => caller === 'small').length, 30)
 })
 
-test('a caller that declares too little is charged when the truth is known', (t) => {
+test('a caller that declares too little is charged the actual cost once it is known', (t) => {
   const { queue } = queueWith()
   for (let i = 0; i < 4; i++) for (const caller of ['honest', 'liar']) add(queue, { id: `${caller}-${i}`, caller })
   const first = [take(queue), take(queue)]
@@ -55,7 +55,7 @@
   t.deepEqual(Array.from({ length: 3 }, () => take(queue)?.item.caller), ['honest', 'honest', 'honest'])
 })
 
-test('urgent work goes first and by deadline, but not before a profile below its floor', (t) => {
+test('urgent work goes first, by deadline, except that profiles below their floor go before it', (t) => {
   const { queue, use } = queueWith()
   const urgent = profile({ priorityClass: 'urgent' })
   const patient = profile({ priorityClass: 'patient', floorShare: 0.05 })
@@ -69,9 +69,10 @@
 })
 
 /*
- * Each request comes from a caller that never returns. Were all of them remembered, the process would grow until it is killed.
+ * Each request comes from a caller that never returns. If all of them were remembered, memory would grow until the
+ * process is killed.
  */
-test('callers that come once are forgotten', (t) => {
+test('callers that send only one request are forgotten', (t) => {
   const { queue } = queueWith()
   for (let i = 0; i < 20_000; i++) {
     add(queue, { id: `r${i}`, caller: `caller-${i}` })
@@ -81,7 +82,7 @@
   t.true((queue.profile('normal')?.knownCallers ?? Infinity) <= 2_000)
 })
 
-/** The same order, found by looking at everything each time. */
+/** The reference: finds the order of callers by scanning all entries each time. */
 class NaiveFairQueue {
   private readonly _entries: { readonly id: string, readonly caller: string, readonly sequence: number }[] = []
   private readonly _served = new Map<string, number>()
@@ -125,7 +126,7 @@
   fc.record({ type: fc.constant('take' as const) })
 )
 
-test('long sequences of commands give the order that the naive queue gives', (t) => {
+test('long command sequences give the same order as the naive queue', (t) => {
   fc.assert(fc.property(fc.array(command, { minLength: 50, maxLength: 400 }), (commands) => {
     const { queue } = queueWith()
     const naive = new NaiveFairQueue()
--- a/src/common/policy/FairQueue.ts
+++ b/src/common/policy/FairQueue.ts
@@ -1,6 +1,6 @@
 /**
- * The order in which waiting work is started: profiles below their floor, then by class, then by weight; inside a
- * profile see `ProfileQueue`.
+ * Orders the waiting work of all profiles: profiles below their floor first, then by class, then by weight.
+ * `ProfileQueue` orders the work within a profile.
  */
 
 import BTreeModule from 'sorted-btree'
@@ -14,10 +14,10 @@
 
 const BTree = BTreeModule.default
 
-/** What even a profile without a floor is sure of while it waits: enough to move on, too little for others to notice. */
+/** The floor of a waiting profile that has no larger one: enough to make progress, too little for others to notice. */
 const LEAST_FLOOR_SHARE = 0.02
 
-/** Floors are scaled down when they add up to more, so that work without a floor always finds some room. */
+/** Floors are scaled down when their sum is larger than this, so that work without a floor always finds some capacity. */
 const MAX_FLOORS_SHARE = 0.9
 
 const CLASS_RANK: Readonly<Record<PriorityClass, number>> = { urgent: 0, normal: 1, patient: 2 }
@@ -32,7 +32,7 @@
   private readonly _byLatestStart = new BTree<IQueueEntry, undefined>(undefined, compareLatestStart)
   private readonly _classVirtualMs = [0, 0, 0]
 
-  /** @param _isScarce whether so little is free that callers above their share have to leave it to the others */
+  /** @param _isScarce whether so little capacity is free that callers above their share have to leave it to the others */
   public constructor (
     private readonly _use: UseLedger,
     private readonly _capacity: IResources,
@@ -47,7 +47,7 @@
     return this._profiles.values()
   }
 
-  /** All that waits, in no order. */
+  /** All queued entries, in no particular order. */
   public entries (): IterableIterator<IQueueEntry> {
     return this._entries.values()
   }
@@ -78,7 +78,7 @@
     return entry
   }
 
-  /** Takes out one entry that can't end in time any more. */
+  /** Removes and returns one entry that can't end in time any more. */
   public takeExpired (nowMs: MonotonicMs): IQueueEntry | undefined {
     const first = this._byLatestStart.minKey()
     if (first === undefined || first.latestStartAtMs > nowMs) return undefined
@@ -90,17 +90,17 @@
   }
 
   /**
-   * The entry to start next among the lanes that are not blocked.
+   * Returns the entry to start next among the lanes that are not blocked.
    *
-   * Made for a flood of urgent work that lasts. By class alone, patient work would wait until the flood ends, seen as
-   * a worst wait that grows with the flood. A profile below its floor goes first, whatever its class; above all floors
-   * the class decides, so that urgent work waits for at most one place to come free.
+   * A profile below its floor goes first, whatever its class. By class alone, patient work would wait for as long as a
+   * flood of urgent work lasts. Among profiles above their floors the class decides, so that urgent work waits at most
+   * until the next place comes free.
    */
   public peek (isBlocked: LaneFilter): IQueueEntry | undefined {
     return this._peekBelowFloor(isBlocked) ?? this._peekByClass(isBlocked)
   }
 
-  /** Whether the profile has less running than it is sure of. */
+  /** Whether the profile runs less than its floor guarantees, or nothing. */
   public isBelowFloor (queue: ProfileQueue): boolean {
     const { name } = queue.profile
     if (this._use.profileCount(name) === 0) return true
@@ -111,7 +111,7 @@
     return Math.max(queue.profile.floorShare * this._floorScale(), LEAST_FLOOR_SHARE)
   }
 
-  /** Charges the profile and the caller with work that starts. */
+  /** Charges the profile and the caller for an item that starts. */
   public charge (entry: { readonly queue: ProfileQueue, readonly costMs: number }, caller: string): void {
     const { queue, costMs } = entry
     const rank = classRank(queue.profile.priorityClass)
@@ -125,7 +125,7 @@
     queue.settle(caller, estimatedMs, actualMs)
   }
 
-  /** The queue of a profile, which follows the newest revision that comes with the work. */
+  /** Returns the queue of a profile, created if needed, and updates it to the profile revision that came with the work. */
   public profileFor (profile: ProfileQueue['profile']): ProfileQueue {
     const known = this._profiles.get(profile.name)
     if (known !== undefined) {
@@ -137,7 +137,7 @@
     return queue
   }
 
-  /** A profile that comes back after a rest starts level with the others of its class. */
+  /** Moves a profile that was idle up to the virtual time of its class, so that idle time earns no priority. */
   public catchUp (queue: ProfileQueue): void {
     const rank = classRank(queue.profile.priorityClass)
     queue.virtualMs = Math.max(queue.virtualMs, this._classVirtualMs[rank] ?? 0)
--- a/src/common/policy/Feasibility.ts
+++ b/src/common/policy/Feasibility.ts
@@ -1,9 +1,9 @@
 /**
- * Which waiting work the hosts could hold at all, were they empty.
+ * Decides which waiting work the known hosts could hold if they were empty.
  *
- * Made for hosts that go while work waits for them: a shard changes hands, a rack fails. What only they could hold would
- * stay in the queue for as long as it is let: one sees a job "accepted" for ever, while another scheduler has the
- * hosts. Such work is given up at once, so that whoever sent it can look elsewhere.
+ * Hosts may leave while work waits for them, because a shard changes its owner or a rack fails. Work that only those
+ * hosts could hold would stay in the queue as "accepted" until it expires, although another scheduler may have the
+ * hosts. Such work is given up at once, so that its sender can submit it elsewhere.
  */
 
 import { addInto, difference, fits, zeroResources } from './Resources.js'
@@ -21,12 +21,12 @@
   readonly used: ReturnType<typeof zeroResources>
 }
 
-/** One job's tasks fill at most so many hosts; it bounds the time of one look. */
+/** The most hosts that the check fills with one job's tasks; bounds the time of the check. */
 const MAX_FILLED_HOSTS = 1000
 
 export interface IFeasibilityCheck {
   readonly couldHold: (need: IResources) => boolean
-  /** All of them at once. */
+  /** Whether the hosts could hold all of them at once. */
   readonly couldHoldAll: (needs: readonly IResources[]) => boolean
 }
 
@@ -35,14 +35,17 @@
 
   public constructor (private readonly _ledger: CapacityLedger) {}
 
-  /** Whether hosts were forgotten since the last call. Those that only don't accept now may be back at any time. */
+  /**
+   * Whether hosts were removed since the last call. Hosts that only don't accept work are not counted, since they may
+   * accept again at any time.
+   */
   public takeRemoved (): boolean {
     const removed = this._ledger.removals !== this._seenRemovals
     this._seenRemovals = this._ledger.removals
     return removed
   }
 
-  /** A check against all hosts known now, were they empty. */
+  /** Returns a check against the capacity of all currently known hosts, as if they were empty. */
   public check (): IFeasibilityCheck {
     const shapes = this._shapes()
     return {
@@ -63,7 +66,7 @@
   }
 }
 
-/** First fit, largest first. */
+/** Places by first fit, the largest need first. */
 function placeAll (needs: readonly IResources[], shapes: readonly IHostShape[]): boolean {
   const unused = shapes.map((shape) => ({ ...shape }))
   const filled: IFilledHost[] = []
--- a/src/common/policy/GiveUpFinder.ts
+++ b/src/common/policy/GiveUpFinder.ts
@@ -1,6 +1,5 @@
 /**
- * Finds waiting work that will not be started any more, because its time has run out or the hosts that could hold it
- * have gone.
+ * Finds waiting work that will not start, because its time has run out or the hosts that could hold it have left.
  */
 
 import { Feasibility } from './Feasibility.js'
@@ -16,7 +15,7 @@
 export interface IGivenUp {
   readonly items: readonly IWorkItem[]
   readonly reason: OutcomeReason
-  /** Places that were held for it are free. */
+  /** Whether capacity that was held for the items has come free. */
   readonly freesRoom: boolean
 }
 
@@ -32,7 +31,7 @@
     this._feasibility = new Feasibility(_ledger)
   }
 
-  /** Takes the next such work out of the queue; nothing when there is none now. */
+  /** Removes and returns the next work to give up; undefined when there is none now. */
   public take (nowMs: MonotonicMs): IGivenUp | undefined {
     return this._takeImpossible() ?? this._takeExpired(nowMs)
   }
@@ -47,7 +46,7 @@
     return group === undefined ? undefined : { items: itemsOf(group), reason: 'deadline', freesRoom: true }
   }
 
-  /** Looks through the whole queue, but only when hosts have gone. */
+  /** Scans the whole queue, but only after hosts were removed. */
   private _takeImpossible (): IGivenUp | undefined {
     if (!this._feasibility.takeRemoved() || this._queue.size + this._book.groupCount === 0) return undefined
     const { couldHold, couldHoldAll } = this._feasibility.check()
@@ -66,7 +65,7 @@
   }
 }
 
-/** A part of a job that spans schedulers is answered by its coordinator, not here. */
+/** The items to answer for a group. A part of a job that spans schedulers is answered by its coordinator. */
 function itemsOf (group: IGroup): readonly IWorkItem[] {
   return group.startsItself ? group.tasks.map(({ item }) => item) : []
 }
--- a/src/common/policy/GroupBook.ts
+++ b/src/common/policy/GroupBook.ts
@@ -1,5 +1,5 @@
 /**
- * The all-at-once jobs that wait, and the places held for them.
+ * Stores the waiting all-at-once jobs (groups) and the capacity held for them.
  */
 
 import { fits } from './Resources.js'
@@ -19,21 +19,21 @@
 
 export interface IGroup {
   readonly groupId: string
-  /** The largest first: where it doesn't fit, nothing else needs to be tried. */
+  /** The largest first: if it doesn't fit, the others need not be tried. */
   readonly tasks: IGroupTask[]
   readonly holds: Map<string, IHold>
-  /** Class rank of its profile; the lowest goes first. */
+  /** The class rank of its profile; the lowest goes first. */
   readonly rank: number
   readonly expiresAtMs: MonotonicMs
-  /** False for a part of a job that spans schedulers: it starts when its coordinator says so. */
+  /** False for a part of a job that spans schedulers: its coordinator starts it. */
   readonly startsItself: boolean
   queuedAtMs: MonotonicMs
   gatheringSinceMs: MonotonicMs | undefined
-  /** By when the hosts that are being emptied for it were expected to have room. */
+  /** When the hosts that are drained for it are expected to have enough free capacity. */
   startsAtMs: MonotonicMs
 }
 
-/** Told of each place that is held or let go. */
+/** Notified of each hold that is added (1) or released (-1). */
 export interface IHoldObserver {
   holdChanged (item: IWorkItem, host: LedgerHost, sign: 1 | -1): void
 }
@@ -62,7 +62,7 @@
     return this._groups.values()
   }
 
-  /** The groups that hold at least one place. */
+  /** The groups that have at least one hold. */
   public holding (): IterableIterator<IGroup> {
     return this._holding.values()
   }
@@ -78,7 +78,7 @@
     this._earliestExpiryMs = Math.min(this._earliestExpiryMs, group.expiresAtMs)
   }
 
-  /** Forgets the group and gives its room back. */
+  /** Removes the group and releases its holds. */
   public drop (groupId: string): IGroup | undefined {
     const group = this._groups.get(groupId)
     if (group === undefined) return undefined
@@ -92,7 +92,7 @@
     return this._groupOf.has(itemId)
   }
 
-  /** Takes one item out; the rest of its group still starts together. */
+  /** Removes one item; the rest of its group still starts together. */
   public cancelItem (itemId: string): boolean {
     const group = this._groupOf.get(itemId)
     if (group === undefined) return false
@@ -103,7 +103,7 @@
     return true
   }
 
-  /** Places held on a host that is gone or gets nothing new are looked for anew. */
+  /** Releases all holds on a host that was removed or accepts no new work; their groups look for capacity elsewhere. */
   public forgetHost (host: LedgerHost): void {
     for (const group of this._holding) {
       for (const hold of group.holds.values()) {
@@ -112,7 +112,7 @@
     }
   }
 
-  /** Takes out a group whose time is up. */
+  /** Removes and returns a group that has expired. */
   public takeExpired (nowMs: MonotonicMs): IGroup | undefined {
     if (nowMs < this._earliestExpiryMs) return undefined
     this._earliestExpiryMs = Infinity
@@ -148,7 +148,7 @@
     return group.holds.size === group.tasks.length
   }
 
-  /** Whether every place is held and whatever ran there has ended. */
+  /** Whether every task has a hold and the work that ran in the held capacity has ended. */
   public isReady (group: IGroup): boolean {
     if (!this.isComplete(group)) return false
     for (const { host } of group.holds.values()) {
@@ -157,7 +157,7 @@
     return true
   }
 
-  /** The items whose places are free for them now. */
+  /** The ids of the items whose held capacity is free for them now. */
   public readyIds (group: IGroup): readonly string[] {
     const ready = [...group.holds.values()].filter(({ host }) => fits(host.held, host.unused()))
     return ready.map(({ item }) => item.id)
--- a/src/common/policy/GroupPlacer.test.ts
+++ b/src/common/policy/GroupPlacer.test.ts
@@ -13,7 +13,7 @@
   for (const id of ids) engine.finished(id, 'succeeded', 1_000)
 }
 
-test('a job starts with all its tasks or with none', (t) => {
+test('a job starts all its tasks at once or none', (t) => {
   const { engine } = engineWith('resources', host('h1', cores(8)))
   engine.admit(work('small', { resources: cores(8) }))
   placed(engine)
@@ -24,10 +24,10 @@
 })
 
 /*
- * Small tasks keep coming and each takes the gap that the last one leaves. A job that waits for enough room at one moment would wait
- * for ever, although every small task is served at once.
+ * Small tasks keep coming and each fills the gap that the last one leaves. A job that waits for enough free capacity at
+ * one moment would wait for ever, although every small task is served at once.
  */
-test('a job among a stream of small tasks starts within the run time of what is in its way', (t) => {
+test('a job in a stream of small tasks starts within the run time of the tasks ahead of it', (t) => {
   const { clock, engine } = engineWith('resources', host('h1', cores(8)), host('h2', cores(8)))
   const ends = new Map<string, number>()
   let startedAtMs = Infinity
@@ -41,14 +41,14 @@
     clock.advance(100)
     for (const [id, atMs] of ends) if (atMs <= clock.nowMs() && ends.delete(id)) finish(engine, id)
   }
-  t.true(startedAtMs <= 5_000 + 1_000 + 2_000, `started at ${startedAtMs} ms, came at 5000 ms`)
+  t.true(startedAtMs <= 5_000 + 1_000 + 2_000, `started at ${startedAtMs} ms, arrived at 5000 ms`)
 })
 
 /*
- * Two jobs each need two thirds of the room. If each held a half and waited for the rest, neither would ever start and the hosts would
- * stand idle.
+ * Two jobs each need three quarters of the capacity. If each held a half and waited for the rest, neither would ever
+ * start and the hosts would be idle.
  */
-test('two jobs that can not run side by side start one after the other', (t) => {
+test('two jobs that do not fit at the same time start one after the other', (t) => {
   const { clock, engine } = engineWith('resources', host('h1', cores(8)), host('h2', cores(8)))
   for (const item of tasks('s', 4)) engine.admit(item)
   placed(engine)
@@ -65,7 +65,7 @@
   t.deepEqual(Object.keys(placed(engine)).sort(), ['b0', 'b1', 'b2'])
 })
 
-test('a reservation waits for room, starts when told to and gives back what it held when dropped', (t) => {
+test('a reservation waits for capacity, starts on request and releases its capacity when dropped', (t) => {
   const { engine } = engineWith('resources', host('h1', cores(8)))
   engine.admit(work('small', { resources: cores(4) }))
   placed(engine)
@@ -83,10 +83,10 @@
 })
 
 /*
- * The coordinator of a job that spans schedulers dies after it has reserved here. Without an expiry the room would be held for ever and
- * nobody would use it.
+ * The coordinator of a job that spans schedulers dies after it has reserved capacity here. Without an expiry the
+ * capacity would be held for ever and stay unused.
  */
-test('a reservation that runs out gives its room back and can no longer start', (t) => {
+test('a reservation that expires releases its capacity and can no longer start', (t) => {
   const { clock, engine } = engineWith('resources', host('h1', cores(8)))
   t.is(engine.reserve('r', tasks('r', 2), 5_000).length, 2)
   engine.admit(work('next', { resources: cores(8) }))
@@ -98,9 +98,10 @@
 })
 
 /*
- * A host on which places are held for a job is lost before the job starts. Its tasks would be started on a host that is gone.
+ * A host with capacity held for a job is lost before the job starts. The job must not be started on a host that has
+ * left.
  */
-test('places held on a lost host are found elsewhere', (t) => {
+test('holds on a lost host are replaced by holds on other hosts', (t) => {
   const { engine } = engineWith('resources', host('h1', cores(4)), host('h2', cores(4)), host('h3', cores(4)))
   engine.reserve('r', tasks('r', 2), 10_000)
   const held = engine.reservedIds('r')
--- a/src/common/policy/GroupPlacer.ts
+++ b/src/common/policy/GroupPlacer.ts
@@ -1,5 +1,6 @@
 /**
- * Finds room for all-at-once jobs: hosts are emptied for one of them at a time, so that no two wait for each other.
+ * Finds capacity for all-at-once jobs. Hosts are drained for one such job at a time, so that no two jobs wait for each
+ * other.
  */
 
 import { addInto, difference, fits, zeroResources } from './Resources.js'
@@ -11,35 +12,47 @@
 import type { RoomForecast } from './RoomForecast.js'
 import type { UseLedger } from './UseLedger.js'
 
-/** Groups looked at for places that are free anyway; a later small one may start while an early large one waits. */
+/**
+ * The most groups tried for capacity that is free without draining; lets a later small group start while an early large
+ * one waits.
+ */
 const MAX_GROUPS_TRIED = 8
 
-/** How long a group waits for enough room by chance before hosts are emptied for it, which costs idle room. */
+/** How long a group waits for enough free capacity before hosts are drained for it, since draining leaves capacity idle. */
 const GATHER_AFTER_MS = 1_000
 
-/** Gathering that has not come to an end in this time is given up in favour of the next group: its room may never come. */
+/** Gathering that takes longer than this stops in favour of the next group, since the capacity may never come free. */
 const MAX_GATHER_MS = 600_000
 
-/** For so long other work may be kept from all hosts; where run times are longer, chosen hosts are emptied instead. */
+/** How long other work may be kept from all hosts. Where run times are longer, selected hosts are drained instead. */
 const MAX_CLOSED_MS = 60_000
 
-/** Time for which hosts are open to all after a job's room has come together, per time for which they were closed. */
+/**
+ * The time for which hosts are open to all work after gathering has ended, as a multiple of the time for which they
+ * were closed.
+ */
 const OPEN_PER_CLOSED = 1
 
-/** While this share of the capacity is held, no further hosts are emptied for single items: held room is mostly idle. */
+/**
+ * From this share of held capacity on, no further hosts are drained for single items, because held capacity is mostly
+ * idle.
+ */
 const MAX_HELD_SHARE_FOR_ONE = 0.05
 
-/** Single items for which hosts are emptied at once: each is looked at whenever a task ends. */
+/**
+ * The most single items for which hosts are drained at the same time, since each of them is checked whenever a task
+ * ends.
+ */
 const MAX_SINGLES = 32
 
-/** Whether it is this group's turn to have room gathered for it. */
+/** Whether it is this group's turn to have capacity gathered for it. */
 export type TurnTest = (group: IGroup) => boolean
 
 export class GroupPlacer {
   private _gathering: IGroup | undefined
   private _singles = 0
   private _nextGatherAtMs: MonotonicMs = -Infinity
-  /** Until when the held room of a host is open to work that ends by then. */
+  /** Until when a host's held capacity is open to work that ends by then. */
   private readonly _openUntilMs = new Map<LedgerHost, MonotonicMs>()
 
   public constructor (
@@ -50,29 +63,29 @@
     private readonly _forecast: RoomForecast
   ) {}
 
-  /** The group for which hosts are being emptied. */
+  /** The group for which capacity is being gathered. */
   public get gathering (): IGroup | undefined {
     return this._gathering
   }
 
-  /** Whether one more host may be emptied for a single large item. */
+  /** Whether one more host may be drained for a single large item. */
   public canGatherForOne (): boolean {
     if (this._gathering !== undefined || this._singles >= MAX_SINGLES) return false
     return this._ledger.shareOf(this._ledger.held) < MAX_HELD_SHARE_FOR_ONE
   }
 
   /**
-   * Whether other work is kept from all hosts so that room comes together for a job.
+   * Whether all hosts are closed to other work so that capacity is gathered for a job.
    *
-   * Made for large jobs amid tasks that run for seconds: what ends on any host then counts towards the job, so the
-   * hosts are idle for the shortest time. Emptying a few chosen hosts takes longer, since the last of them decides.
+   * For large jobs among tasks that run for seconds, this keeps the idle time shortest: capacity that comes free on any
+   * host counts towards the job. Draining a few selected hosts takes longer, since the last of them to finish decides.
    */
   public isClosing (nowMs: MonotonicMs): boolean {
     const sinceMs = this._gathering?.gatheringSinceMs
     return sinceMs !== undefined && nowMs - sinceMs < MAX_CLOSED_MS
   }
 
-  /** When something here is due although no room has come free. */
+  /** When the next time limit of a group expires, even if no capacity comes free before. */
   public nextWakeAtMs (nowMs: MonotonicMs): MonotonicMs {
     let wakeAtMs = this._book.earliestExpiryMs
     if (this._book.groupCount > 0 && this._nextGatherAtMs > nowMs) wakeAtMs = Math.min(wakeAtMs, this._nextGatherAtMs)
@@ -85,13 +98,13 @@
   }
 
   /**
-   * Moves the groups on and gives one that can start itself now.
+   * Advances the groups and returns one that can start by itself now.
    *
-   * Made for jobs of many tasks among a stream of small ones. Left to chance, a large job never finds all its room at
-   * one moment: it starves, though each small task waits hardly at all. So room is gathered for it as it comes free. Only
-   * one group at a time holds part of its room: were there two, each could hold half and wait for the other for ever,
-   * which shows as hosts held but idle. A group with all its claims waits for running work alone, so its wait is
-   * bounded by run times, and the next group may gather meanwhile.
+   * Without gathering, a job of many tasks would starve among a stream of small tasks, because the capacity for all its
+   * tasks is never free at the same moment. So capacity is held for it as it comes free. Only one group at a time has a
+   * part of its holds: two such groups could each hold half of the capacity and wait for the other for ever, on idle
+   * hosts. A group with all its holds waits for running work only, so its wait is bounded by run times, and the next
+   * group may gather meanwhile.
    */
   public advance (nowMs: MonotonicMs, isItsTurn: TurnTest): IGroup | undefined {
     this._stopStalled(nowMs)
@@ -106,7 +119,7 @@
     return undefined
   }
 
-  /** Whether the held room of this host is still open at `atMs`. */
+  /** Whether held capacity of this host may be backfilled by work that ends at `atMs`. */
   public isOpenUntil (host: LedgerHost, atMs: MonotonicMs): boolean {
     return atMs <= (this._openUntilMs.get(host) ?? 0)
   }
@@ -143,7 +156,10 @@
     next.startsAtMs = nowMs + this._forecast.groupMs(next)
   }
 
-  /** Parts of a job that spans schedulers hold room elsewhere already, so room is gathered for them at once. */
+  /**
+   * Whether capacity may be gathered for the group. Parts of a job that spans schedulers need not wait, because other
+   * parts already hold capacity elsewhere.
+   */
   private _mayGather (group: IGroup, nowMs: MonotonicMs): boolean {
     if (this._book.isComplete(group) || isSingle(group) || !this._isWithinLimits(group)) return false
     return !group.startsItself || nowMs - group.queuedAtMs >= GATHER_AFTER_MS
@@ -160,10 +176,10 @@
   }
 
   /**
-   * Lets the other work in again, for a time in proportion to that for which it was kept out.
+   * Opens the hosts to other work again, for a time in proportion to the time for which they were closed.
    *
-   * Made for jobs that come one after the other. Were room gathered for the next at once, hosts would be closed nearly all the time:
-   * half idle, and lower classes left with their floors alone.
+   * If capacity were gathered for the next job at once, a series of jobs would keep hosts closed nearly all the time:
+   * hosts would be half idle, and lower classes would get their floors only.
    */
   private _endGathering (group: IGroup, nowMs: MonotonicMs): void {
     const closedMs = Math.min(nowMs - (group.gatheringSinceMs ?? nowMs), MAX_CLOSED_MS)
@@ -172,8 +188,8 @@
   }
 
   /**
-   * Holds room that is free, or else room on a host that gets nothing new until the claim is met. A host is emptied for
-   * one group at a time: two claims on it would each see the other's room as missing and never be met.
+   * Holds free capacity for a task, or else capacity on a host that gets no new work until the hold is met. A host is
+   * drained for one group at a time: two holds on it would each see the other's capacity as missing and never be met.
    */
   private _claim (group: IGroup, task: IGroupTask, nowMs: MonotonicMs): boolean {
     const free = this._chooser.choose(task.item, task.need)
@@ -190,10 +206,10 @@
   }
 
   /**
-   * Moves claims from hosts that are still being emptied to room that has come free elsewhere.
+   * Moves holds from hosts that are still draining to capacity that has come free elsewhere.
    *
-   * Made for run times with a long tail: of sixteen hosts, one runs something for a minute more, and the fifteen that
-   * have been emptied would stand idle until then.
+   * Run times have a long tail: if one of sixteen hosts runs a task for another minute, the fifteen drained hosts would
+   * be idle until then.
    */
   private _improveClaims (): void {
     let hasMoved = false
@@ -232,7 +248,10 @@
     }
   }
 
-  /** Enough is free in sum; without this look a large group would be tried in vain each time a task ends. */
+  /**
+   * Whether enough capacity is free in total. Without this check a large group would be tried in vain each time a task
+   * ends.
+   */
   private _couldFit (group: IGroup): boolean {
     const sum = zeroResources()
     for (const { need } of group.tasks) addInto(sum, need)
--- a/src/common/policy/HostChooser.ts
+++ b/src/common/policy/HostChooser.ts
@@ -1,6 +1,6 @@
 /**
- * On which host an item goes: as the probe of a host on probation, spread if its profile asks for it, else by best fit or
- * by least in flight.
+ * Chooses the host for an item: a host on probation that is due for a probe, a host in the failure domain with the
+ * fewest items of a service to be spread, or else the best fit (tasks) or the host with the fewest requests in flight.
  */
 
 import { difference, fits } from './Resources.js'
@@ -14,12 +14,12 @@
 import type { IWorkItem } from './Types.js'
 import type { CapacityKind } from './UseLedger.js'
 
-/** Hosts looked at one by one when the index knows none to empty. */
+/** The most hosts checked one by one when the index finds none to drain. */
 const MAX_DRAIN_LOOKS = 1_000
 
 export class HostChooser implements IHoldObserver {
   private readonly _order: GridOrder
-  /** Running items of services to be spread, by failure domain. */
+  /** The number of running items by service and failure domain, for services to be spread. */
   private readonly _spread = new Map<string, Map<string, number>>()
 
   public constructor (
@@ -32,18 +32,18 @@
   }
 
   /**
-   * A host with room, or nothing.
+   * Returns a host with enough free capacity, if any.
    *
-   * Made for two loads. Requests on slots go where the fewest are in flight, because a host that slows down then gets
-   * less, and nobody queues behind a busy host while another is free. Tasks go where they fit most tightly, because
-   * evenly filled hosts have room for small tasks only: large ones would wait though enough is free in sum.
+   * Requests on slots go to the host with the fewest in flight: a host that becomes slow then gets fewer requests, and
+   * no request queues behind a busy host while another is free. Tasks go where they fit most tightly: on evenly filled
+   * hosts only small tasks would fit, and large ones would wait though enough capacity is free in total.
    */
   public choose (item: IWorkItem, need: IResources): LedgerHost | undefined {
     if (item.profile.spread === 'failureDomain') return this._chooseSpread(item, need)
     return this._index.find(item, need, this._order) ?? this._chooseAvoided(item, need)
   }
 
-  /** A host on probation for which the item may serve as the probe now due. */
+  /** Returns a host on probation for which the item may serve as the probe that is due. */
   public chooseProbe (item: IWorkItem, need: IResources, nowMs: MonotonicMs): LedgerHost | undefined {
     const hostId = this._health.hostToProbe(item, nowMs)
     const host = hostId === undefined ? undefined : this._ledger.host(hostId)
@@ -51,12 +51,12 @@
     return fits(need, host.free()) ? host : undefined
   }
 
-  /** A place in room that is held for others, for work that will have ended when they start. */
+  /** Returns a host with capacity held for others, for work that will have ended when they start. */
   public chooseHeld (item: IWorkItem, need: IResources, isAllowed: HostFilter): LedgerHost | undefined {
     return this._index.findHeld(item, need, isAllowed)
   }
 
-  /** A host to be emptied for the item; the index knows most of them, and a look at some others finds the rest. */
+  /** Returns a host to drain for the item. Hosts that are missing in the index are found by a bounded scan. */
   public chooseToDrain (item: IWorkItem, need: IResources, isAllowed: HostFilter): LedgerHost | undefined {
     const found = this._index.findToDrain(item, need, isAllowed)
     if (found !== undefined) return found
@@ -80,9 +80,8 @@
   }
 
   /**
-   * The failure domain in which its service has least running comes first.
-   *
-   * Made for the loss of a whole domain: tasks packed by fit alone tend to share one, and the service is gone with it.
+   * Tries failure domains in order of how few items of the service run there. Placed by fit alone, the tasks of a
+   * service tend to share one domain, whose loss would stop the service.
    */
   private _chooseSpread (item: IWorkItem, need: IResources): LedgerHost | undefined {
     const counts = this._spread.get(item.service)
@@ -96,8 +95,8 @@
   }
 
   /**
-   * An attempt that failed goes elsewhere, unless there is no elsewhere: with one host left, waiting for another would
-   * never end.
+   * Returns an avoided host, but only if no other accepting host could ever hold the item: with no other host left,
+   * waiting for one would never end.
    */
   private _chooseAvoided (item: IWorkItem, need: IResources): LedgerHost | undefined {
     const avoided = item.avoidHostIds
@@ -109,7 +108,10 @@
     return this._index.find(rest, need, this._order)
   }
 
-  /** Held places count as running for the spread: the tasks of a job are all placed before the first one runs. */
+  /**
+   * Counts held capacity as running for the spread, because the tasks of a job are all placed before the first one
+   * runs.
+   */
   public holdChanged (item: IWorkItem, host: LedgerHost, sign: 1 | -1): void {
     this._countSpread(item, host, sign)
   }
--- a/src/common/policy/HostGrid.test.ts
+++ b/src/common/policy/HostGrid.test.ts
@@ -16,7 +16,7 @@
   return grid
 }
 
-test('the tightest host with room is found, or the freest', (t) => {
+test('the tightest host with enough free capacity is found, or the freest', (t) => {
   const grid = gridOf([cores(8), cores(2), cores(1)])
   t.is(grid.find(cores(2), 'tightest', () => true)?.hostId, 'h1')
   t.is(grid.find(cores(2), 'freest', () => true)?.hostId, 'h0')
@@ -37,7 +37,7 @@
   accelerators: fc.constant(0)
 })
 
-test('a host is found exactly when a scan finds one, also after hosts have moved', (t) => {
+test('a host is found exactly when a scan finds one, also after hosts have changed cells', (t) => {
   fc.assert(fc.property(fc.array(amount, { minLength: 1, maxLength: 30 }), fc.array(amount, { maxLength: 30 }), amount, (before, after, need) => {
     const grid = new HostGrid()
     const frees = new Map(before.map((free, i) => [new LedgerHost(host(`h${i}`)), free]))
--- a/src/common/policy/HostGrid.ts
+++ b/src/common/policy/HostGrid.ts
@@ -1,6 +1,6 @@
 /**
- * Hosts by free cores and free memory, on a logarithmic grid with a bit mask per row and column, so that finding the
- * tightest host with room looks at a few words instead of at every host.
+ * Indexes hosts by free cores and free memory on a logarithmic grid with a bit mask per row and column. Finding the
+ * tightest host with enough free capacity reads a few words instead of every host.
  */
 
 import { dominantShare, fits } from './Resources.js'
@@ -11,28 +11,31 @@
 /** Levels per dimension: one bit each in a 32-bit mask. */
 const LEVELS = 32
 
-/** Two levels an octave: hosts of one cell differ by less than 42%. */
+/** Levels per octave: hosts in one cell differ by less than 42%. */
 const LEVELS_PER_OCTAVE = 2
 
-/** The smallest amounts told apart. With 31 levels above zero they reach 5,792 cores and 724 GiB. */
+/** The smallest amounts that are distinguished. With 31 levels above zero they reach 5,792 cores and 724 GiB. */
 const SMALLEST_CORES = 0.125
 const SMALLEST_MEMORY_BYTES = 16 * 2 ** 20
 
 /**
- * The most hosts looked at in one cell. Only in the cells at the edge of the need can a host turn out too small, and
- * the start rotates, so that a host missed once is found soon after; without the limit one decision over a cell
- * with thousands of nearly full hosts would take milliseconds.
+ * The most hosts checked in one cell. A host can be too small only in the cells at the edge of the need, and the start
+ * of the scan rotates, so that a missed host is found soon after. Without the limit, one decision over a cell with
+ * thousands of nearly full hosts would take milliseconds.
  */
 const MAX_LOOKED_AT = 32
 
-/** Of hosts with as many slots free, the one with the fewest in flight is preferred: a tie-break, below one slot. */
+/**
+ * A tie-break, worth less than one slot: of hosts with equally many free slots, the one with the fewest requests in
+ * flight is preferred.
+ */
 const IN_FLIGHT_WEIGHT = 1e-6
 
-/** Which of the hosts with room to prefer. */
+/** Which of the hosts with enough free capacity to prefer. */
 export type GridOrder =
-  /** The one that is left with the least: keeps large places whole. */
+  /** The one with the least free capacity: keeps large gaps whole. */
   | 'tightest'
-  /** The one with the most room: the fewest requests in flight. */
+  /** The one with the most free capacity, which has the fewest requests in flight. */
   | 'freest'
 
 export type HostFilter = (host: LedgerHost) => boolean
@@ -44,7 +47,7 @@
   position: number
 }
 
-/** The level of an amount: 0 for none, then two an octave. */
+/** The level of an amount: 0 for none, then two levels per octave. */
 export function levelOf (amount: number, smallest: number): number {
   if (amount <= 0) return 0
   const level = 1 + Math.floor(LEVELS_PER_OCTAVE * Math.log2(amount / smallest))
@@ -70,7 +73,7 @@
     return this._entries.size
   }
 
-  /** Adds a host or moves it to where its free room belongs. */
+  /** Adds a host or moves it to the cell of its free capacity. */
   public set (host: LedgerHost, free: IResources): void {
     const cell = coreLevel(free.cores) * LEVELS + memoryLevel(free.memoryBytes)
     const entry = this._entries.get(host)
@@ -93,10 +96,10 @@
   }
 
   /**
-   * A host with room for `need`.
+   * Returns a host with enough free capacity for `need`.
    *
-   * Made for placing thousands of tasks a second on tens of thousands of hosts. The walk goes along the dimension of
-   * which the need takes the larger share, because that one decides what the host can still take afterwards.
+   * Must support placing thousands of tasks a second on tens of thousands of hosts. The search goes along the dimension
+   * of which the need takes the larger share, because that dimension limits what the host can still take afterwards.
    */
   public find (need: IResources, order: GridOrder, isAllowed: HostFilter): LedgerHost | undefined {
     const row = coreLevel(need.cores)
@@ -109,7 +112,7 @@
       : this._findByMemory(need, row, column, isAllowed)
   }
 
-  /** The free room of a host that is among those with the most cores free. */
+  /** The free capacity of one of the hosts with the most free cores. */
   public freest (): IResources | undefined {
     for (let cell = LEVELS * LEVELS - 1; cell >= 0; cell--) {
       const [entry] = this._cells[cell] ?? []
--- a/src/common/policy/HostHealth.ts
+++ b/src/common/policy/HostHealth.ts
@@ -1,5 +1,6 @@
 /**
- * Which hosts fail far more than their peers: they go on probation, get a probe now and then and come back once healed.
+ * Detects hosts that fail far more often than their peers. Such a host is on probation: it only gets a probe at
+ * intervals, until enough probes have succeeded.
  */
 
 import { LRUCache } from 'lru-cache'
@@ -7,35 +8,47 @@
 import type { MonotonicMs } from '../Types.js'
 import type { AttemptEnd, IWorkItem } from './Types.js'
 
-/** Fewer failures than this prove nothing; five in a row at a usual failure rate of 1% happen once in 10^10. */
+/**
+ * The least number of failures for probation. At a usual failure rate of 1%, five failures in a row happen once in
+ * 10^10.
+ */
 const MIN_FAILURES = 5
 
-/** How many times the failures that its services show elsewhere a host must have. */
+/**
+ * A host on probation must have at least this many times the failures expected from its services' failure rates on all
+ * hosts.
+ */
 const FAILURES_OVER_EXPECTED = 3
 
-/** Below this failure rate a host is worth its capacity whatever its peers do. */
+/** A host with a failure rate below this stays in use, whatever the rate of its peers. */
 const MIN_FAILURE_RATE = 0.3
 
-/** Counts halve in this time, so that a host is judged by its last half minute. */
+/** The half-life of the counts: a host is judged by about the last half minute. */
 const HALF_LIFE_MS = 10_000
 
-/** The first probe comes soon, for a short fault; the pause doubles up to this, so a healed host is back within some seconds. */
+/**
+ * The first probe follows soon, for short faults. The pause doubles after each failed probe up to the maximum, so that
+ * a healed host is back within some seconds.
+ */
 const FIRST_PROBE_AFTER_MS = 500
 const MAX_PROBE_PAUSE_MS = 5_000
 
-/** Successful probes in a row that end a probation; one could be luck. */
+/** Consecutive successful probes that end a probation; a single success could be chance. */
 const PROBES_TO_HEAL = 3
 
-/** A probe that brought no answer in this time is taken as lost, so that the next one can go. */
+/** A probe without a result after this time is taken as lost, so that the next one can start. */
 const PROBE_LOST_AFTER_MS = 60_000
 
-/** At most this share of hosts is on probation: when more fail, the fault is hardly theirs. */
+/** The largest share of hosts on probation: when more hosts fail, the fault is probably not theirs. */
 const MAX_PROBATION_SHARE = 0.34
 
-/** Successes that each service is credited with, so that its first failures aren't taken for its usual rate. */
+/**
+ * Successful attempts that each service is credited with at first, so that its first failures aren't taken for its
+ * usual rate.
+ */
 const SERVICE_PRIOR_ATTEMPTS = 20
 
-/** Services remembered; the one unused for longest is forgotten first. */
+/** The most services remembered; the least recently used one is removed first. */
 const MAX_SERVICES = 10_000
 
 interface IRecord {
@@ -86,11 +99,11 @@
   }
 
   /**
-   * Counts the end of an attempt; says whether the host went on probation or came back.
+   * Records the end of an attempt; returns whether the host's probation has started or ended.
    *
-   * Made for a host that fails at once whatever it starts. Being free again at once, it attracts more work than all
-   * its healthy peers together: a single one can fail most of the load. The host's failures are held against those
-   * that the same services show on all hosts, so that a service that fails everywhere puts no host on probation.
+   * A host that fails everything at once is always free, so it attracts more work than all its healthy peers together
+   * and can fail most of the load. The host's failures are compared with those of the same services on all hosts, so
+   * that a service that fails everywhere puts no host on probation.
    */
   public note (hostId: string, item: IWorkItem, end: AttemptEnd, nowMs: MonotonicMs): boolean {
     const record = this._hosts.get(hostId)
@@ -106,7 +119,7 @@
     return hasFailed && this._judge(hostId, record, nowMs)
   }
 
-  /** A host on probation that is due for a probe with this item. */
+  /** Returns a host on probation for which a probe is due that this item can serve as. */
   public hostToProbe (item: IWorkItem, nowMs: MonotonicMs): string | undefined {
     if (this._onProbation.size === 0) return undefined
     for (const hostId of this._onProbation) {
@@ -116,7 +129,7 @@
     return undefined
   }
 
-  /** Notes that the item is the probe now under way. */
+  /** Records that the item is the current probe of the host. */
   public startProbe (hostId: string, itemId: string, nowMs: MonotonicMs): void {
     const probation = this._hosts.get(hostId)?.probation
     if (probation === undefined) return
@@ -144,7 +157,10 @@
     return true
   }
 
-  /** Ends of work that was started before the probation say nothing new; only the probe counts. */
+  /**
+   * Records the end of a probe. Work that started before the probation is ignored, because it says nothing about the
+   * present state.
+   */
   private _noteProbe (hostId: string, record: IRecord, probation: IProbation, itemId: string, hasFailed: boolean, nowMs: MonotonicMs): boolean {
     if (probation.probeItemId !== itemId) return false
     probation.probeItemId = undefined
@@ -171,12 +187,15 @@
   }
 }
 
-/** Probes risk a failure, so they are made with work that can be tried again elsewhere. */
+/**
+ * Whether a probe is due and the item may serve as one. A probe may fail, so only work that can be retried elsewhere is
+ * used.
+ */
 function isDue (probation: IProbation, item: IWorkItem, nowMs: MonotonicMs): boolean {
   return nowMs >= probation.nextProbeAtMs && item.idempotent && item.profile.maxRetries > 0
 }
 
-/** Keeps the rate of a service fresh: old attempts weigh half after each 1,000. */
+/** Counts an attempt of a service. Counts are halved at 1,000 attempts, so that the rate follows recent attempts. */
 function countAttempt (rate: IServiceRate, hasFailed: boolean): void {
   if (rate.attempts >= 1_000) {
     rate.attempts /= 2
--- a/src/common/policy/HostIndex.ts
+++ b/src/common/policy/HostIndex.ts
@@ -1,5 +1,6 @@
 /**
- * Where a placement may go: hosts by free room, apart for accelerator work, per failure domain for work to be spread.
+ * Indexes the usable hosts by free capacity: hosts with accelerators apart, and hosts per failure domain for work to be
+ * spread.
  */
 
 import { HostGrid } from './HostGrid.js'
@@ -11,7 +12,7 @@
 import type { GridOrder, HostFilter } from './HostGrid.js'
 import type { IWorkItem } from './Types.js'
 
-/** Two grids: hosts with accelerators for the work that needs them, and all hosts for the rest. */
+/** Two grids: one of hosts with accelerators for work that needs them, one of all hosts for other work. */
 class GridPair {
   public readonly plain = new HostGrid()
   public readonly accelerated = new HostGrid()
@@ -37,11 +38,11 @@
 }
 
 /**
- * What plain work may take of a host with accelerators: what its free accelerators don't need.
+ * The free capacity of a host that plain work may use: what its free accelerators don't need.
  *
- * Made for a flood of plain work. If it filled the cores of accelerator hosts, their accelerators would stand idle
- * while accelerator work waits. Each free accelerator keeps its even share of the host's cores and memory; the rest
- * is open to all, so that these hosts don't stand half empty either.
+ * If plain work filled the cores of accelerator hosts, their accelerators would be idle while accelerator work waits.
+ * Each free accelerator keeps its even share of the host's cores and memory; the rest is open to all work, so that
+ * these hosts aren't left half empty either.
  */
 function withoutAcceleratorShare (host: LedgerHost, free: IResources): IResources {
   const { capacity } = host.config
@@ -54,14 +55,14 @@
 export class HostIndex {
   private readonly _all: GridPair
   private readonly _byDomain = new Map<string, GridPair>()
-  /** Hosts with room held for all-at-once jobs, by what is not used yet: open to work that ends in time. */
+  /** Hosts with capacity held for all-at-once jobs, by unused capacity: open to work that ends before the job starts. */
   private readonly _held = new HostGrid()
 
   public constructor (private readonly _reserve: AcceleratorReserve) {
     this._all = new GridPair(_reserve)
   }
 
-  /** Puts a host where its free room belongs; `isUsable` is false for one that gets nothing new. */
+  /** Updates the position of a host from its free capacity; `isUsable` is false for a host that gets no new work. */
   public update (host: LedgerHost, isUsable: boolean): void {
     if (!isUsable) {
       this.remove(host)
@@ -84,7 +85,7 @@
     return [...this._byDomain.keys()]
   }
 
-  /** A host with room for `need`, which may be more than the item declares. */
+  /** Returns a host with enough free capacity for `need`, which may be more than the item declares. */
   public find (item: IWorkItem, need: IResources, order: GridOrder): LedgerHost | undefined {
     return this._all.find(need, order, allowedFor(item))
   }
@@ -93,18 +94,21 @@
     return this._byDomain.get(domainKey)?.find(need, order, allowedFor(item))
   }
 
-  /** The free room of one of the emptiest hosts. */
+  /** The free capacity of one of the emptiest hosts. */
   public largestFree (): IResources {
     return this._all.accelerated.freest() ?? this._all.plain.freest() ?? NO_RESOURCES
   }
 
-  /** A host whose room is held but not used yet. */
+  /** Returns a host with held capacity that is not used yet. */
   public findHeld (item: IWorkItem, need: IResources, isAllowed: HostFilter): LedgerHost | undefined {
     const allowed = allowedFor(item)
     return this._held.find(need, 'tightest', (host) => isAllowed(host) && allowed(host))
   }
 
-  /** One of the emptiest hosts that could hold `need` once the work on it has ended, beside what is held already. */
+  /**
+   * Returns one of the emptiest hosts that could hold `need`, in addition to its existing holds, once its running work
+   * has ended.
+   */
   public findToDrain (item: IWorkItem, need: IResources, isAllowed: HostFilter): LedgerHost | undefined {
     const avoids = allowedFor(item)
     const allowed: HostFilter = (host) => isAllowed(host) && avoids(host)
--- a/src/common/policy/Learners.test.ts
+++ b/src/common/policy/Learners.test.ts
@@ -6,7 +6,7 @@
 import { SizeLearner } from './SizeLearner.js'
 import { UrgentReserve } from './UrgentReserve.js'
 
-test('run times are taken as declared until they have been seen', (t) => {
+test('run times are taken as declared until enough runs were seen', (t) => {
   const learner = new RunTimeLearner()
   const item = work('a', { declaredRunMs: 10_000 })
   t.is(learner.meanMs(item), 10_000)
@@ -16,14 +16,14 @@
   t.true(learner.quantileMs(item, 0.99) >= 2_000 && learner.quantileMs(item, 0.99) < 2_829)
 })
 
-test('run times follow a service that changes', (t) => {
+test('run times follow a change of the service', (t) => {
   const learner = new RunTimeLearner()
   for (let i = 0; i < 5_000; i++) learner.note('service', 100)
   for (let i = 0; i < 5_000; i++) learner.note('service', 1_000)
   t.true(learner.meanMs(work('a')) > 950)
 })
 
-test('sizes are scaled by what a service was seen to use beyond its declared size', (t) => {
+test('sizes are scaled by the factor by which a service exceeds its declared size', (t) => {
   const learner = new SizeLearner()
   for (let i = 0; i < 50; i++) learner.note(work('a'), cores(4))
   t.is(Math.round(learner.expected(work('b', { resources: cores(2) })).cores), 8)
@@ -32,9 +32,10 @@
 })
 
 /*
- * An upstream starts to fail all requests. With a fixed number of retries each, its load would treble just then.
+ * An upstream starts to fail all requests. With a fixed number of retries per request, its load would triple at that
+ * time.
  */
-test('retries dry up when nothing succeeds and come back with successes', (t) => {
+test('retries cease when nothing succeeds and resume with successes', (t) => {
   const budget = new RetryBudget()
   const item = work('a')
   const granted = Array.from({ length: 100 }, () => budget.tryTake(item, 1)).filter((result) => result.isOk()).length
@@ -43,13 +44,13 @@
   t.true(budget.tryTake(item, 1).isOk())
 })
 
-test('no retries for work that must not run twice, nor beyond the limit of its profile', (t) => {
+test('work that is not idempotent or has reached the retry limit of its profile gets no retries', (t) => {
   const budget = new RetryBudget()
   t.true(budget.tryTake(work('a', { idempotent: false }), 1).isErr())
   t.true(budget.tryTake(work('a', { profile: profile({ maxRetries: 1 }) }), 2).isErr())
 })
 
-test('the room that urgent work used is kept for a while', (t) => {
+test('capacity that urgent work used is reserved for a while', (t) => {
   const reserve = new UrgentReserve()
   reserve.add(0.2, 0)
   t.is(reserve.shareToKeep(0), 0)
--- a/src/common/policy/NaiveEngine.ts
+++ b/src/common/policy/NaiveEngine.ts
@@ -1,6 +1,7 @@
 /**
- * The plain decision engine: first come, first served, on the first host with room. The baseline of the bench and the
- * reference of the differential tests, so it is written to be obviously right rather than fast or fair.
+ * A simple decision engine: first come, first served, on the first host with enough free capacity. It is the baseline
+ * of the benchmarks and the reference of the differential tests, so it is written to be obviously correct rather than
+ * fast or fair.
  */
 
 import { NaiveLines } from './NaiveLines.js'
@@ -147,7 +148,7 @@
     return { engine: 'naive', hosts: this._hosts.size, load: this.load() }
   }
 
-  /** The first host with room; subclasses in the bench choose otherwise. */
+  /** Returns the first host with enough free capacity; subclasses in the benchmarks choose differently. */
   protected _chooseHost (item: IWorkItem): INaiveHost | undefined {
     for (const host of this._hosts.values()) {
       if (this._hasRoom(host, item) && item.avoidHostIds?.includes(host.config.hostId) !== true) return host
@@ -155,7 +156,7 @@
     return item.avoidHostIds === undefined ? undefined : this._chooseAvoided(item)
   }
 
-  /** The line in which an item waits; lower ones go first. */
+  /** The rank of an item's queue; lower ranks go first. */
   protected _rankOf (_item: IWorkItem): number {
     return 0
   }
@@ -164,7 +165,10 @@
     return host.config.accepting && fits(item.resources, difference(host.config.capacity, host.used))
   }
 
-  /** When each other host that could ever hold the item is to be avoided, an avoided one is better than none. */
+  /**
+   * If every accepting host that could ever hold the item is to be avoided, returns one of them with enough free
+   * capacity.
+   */
   private _chooseAvoided (item: IWorkItem): INaiveHost | undefined {
     const accepting = [...this._hosts.values()].filter((host) => host.config.accepting && fits(item.resources, host.config.capacity))
     const hasOther = accepting.some((host) => item.avoidHostIds?.includes(host.config.hostId) !== true)
--- a/src/common/policy/NaiveLines.ts
+++ b/src/common/policy/NaiveLines.ts
@@ -1,5 +1,5 @@
 /**
- * What waits in the naive engine: lines in order of arrival, the lower ranks first.
+ * The waiting work of the naive engine: one queue for each rank, in order of arrival; lower ranks go first.
  */
 
 import { Heap } from 'heap-js'
@@ -7,19 +7,19 @@
 import type { MonotonicMs } from '../Types.js'
 import type { IWorkItem } from './Types.js'
 
-/** One item, or the items of an all-at-once job. Empty once it has left its line. */
+/** One item, or the items of an all-at-once job. Empty once it was removed from its queue. */
 interface INaiveEntry {
   items: readonly IWorkItem[]
   readonly deadlineAtMs: MonotonicMs
 }
 
-/** Entries in order of arrival; those before `head` have left. */
+/** Entries in order of arrival; those before `head` have been removed. */
 interface INaiveLine {
   entries: INaiveEntry[]
   head: number
 }
 
-/** Entries that have left are cut off in pieces of this size, since a cut costs as much as the line is long. */
+/** Removed entries are cut off in batches of this size, since the cost of a cut grows with the length of the queue. */
 const CUT_AFTER_ENTRIES = 10_000
 
 export class NaiveLines {
@@ -48,7 +48,7 @@
     return this._entryOf.delete(itemId)
   }
 
-  /** The items that come next; none when nothing waits. */
+  /** The items of the first entry; none when nothing waits. */
   public first (): readonly IWorkItem[] {
     return this._firstEntry()?.items ?? []
   }
@@ -58,7 +58,7 @@
     if (entry !== undefined) this._leave(entry)
   }
 
-  /** Takes out the items of one entry whose deadline has passed. */
+  /** Removes and returns the items of one entry whose deadline has passed. */
   public takeLate (nowMs: MonotonicMs): readonly IWorkItem[] {
     if (this.earliestDeadlineAtMs() > nowMs) return []
     const late = this._byDeadline.pop()
--- a/src/common/policy/Preemption.ts
+++ b/src/common/policy/Preemption.ts
@@ -1,5 +1,5 @@
 /**
- * Which running work to stop so that urgent work can start.
+ * Selects the running items to stop so that an urgent item can start.
  */
 
 import { addInto, fits, zeroResources } from './Resources.js'
@@ -9,13 +9,13 @@
 import type { IRunningItem, LedgerHost } from './CapacityLedger.js'
 import type { IWorkItem } from './Types.js'
 
-/** Urgent work waits this long for a place to come free by itself, since a stop throws away what has been done. */
+/** Urgent work waits this long for capacity to come free before others are stopped, since a stop discards the work done. */
 export const PREEMPT_AFTER_MS = 100
 
-/** Hosts looked at for the cheapest stop. */
+/** The most hosts compared to find the cheapest stop. */
 const MAX_HOSTS_TRIED = 64
 
-/** Stops on one host for one item; more would throw away too much for it. */
+/** The most items stopped for one item; more would discard too much work. */
 const MAX_VICTIMS = 8
 
 /** Whether the profile keeps its floor when it loses `resources`. */
@@ -38,11 +38,11 @@
   }
 
   /**
-   * The items to stop for `item`, all on one host, or none.
+   * Returns the items to stop for `item`, all on one host, or none.
    *
-   * Made for hosts filled with long patient tasks when urgent work arrives: nothing would come free within its deadline.
-   * Of the hosts looked at, the one where the least run time is lost is taken, and a host's youngest items
-   * first. A profile is never brought below its floor, or a stream of urgent work would starve it through the back door.
+   * When hosts are filled with long patient tasks, nothing may come free within the deadline of an urgent item. Of the
+   * hosts compared, the one that loses the least run time is chosen, and on a host the youngest items first. No profile
+   * is brought below its floor; otherwise a stream of urgent work would starve it by preemption.
    */
   public choose (item: IWorkItem, need: IResources, nowMs: MonotonicMs, keepsFloor: FloorTest): readonly IRunningItem[] {
     let best: readonly IRunningItem[] = []
--- a/src/common/policy/ProfileQueue.ts
+++ b/src/common/policy/ProfileQueue.ts
@@ -1,6 +1,6 @@
 /**
- * The queue of one profile: its callers share what the profile gets by the cost of what they ran, and each caller's
- * own items stand by deadline (urgent) or by arrival.
+ * The queue of one profile. Callers share the capacity of the profile by the cost of the work they ran; each caller's
+ * own items are ordered by deadline (urgent) or by arrival.
  */
 
 import BTreeModule from 'sorted-btree'
@@ -10,22 +10,26 @@
 
 const BTree = BTreeModule.default
 
-/** Idle callers are looked through once this many new ones have come, so that the cost of a look is spread over them. */
+/** Idle callers are removed once this many new ones have come, so that the cost of the scan is spread over them. */
 const SWEEP_AFTER_CALLERS = 1_000
 
 /**
- * How many times its even share a caller runs before the last free slots are kept from it. Callers with like demand differ by
- * less: with 1 instead of 2, urgent requests of callers just above the average waited for seconds behind patient ones.
+ * While capacity is scarce, the last free slots are kept from a caller that runs more than this many times its even
+ * share. With 1 instead of 2, urgent requests of callers just above the average would wait for seconds behind patient
+ * ones, because callers with similar demand also differ by some amount.
  */
 const FAR_ABOVE = 2
 
-/** Callers above their share that are passed over in one look; more of them than this can't all be far above it. */
+/**
+ * The most callers above their share that are skipped in one search. If there are more than this, they can't all be far
+ * above it.
+ */
 const MAX_PASSED_OVER = 16
 
 export class ProfileQueue {
   public queuedCount = 0
   public queuedCostMs = 0
-  /** What the profile was served by its weight, on the virtual time of its class. */
+  /** The cost charged to the profile, divided by its weight, on the virtual time of its class. */
   public virtualMs = 0
   private readonly _callers = new Map<string, ICallerShare>()
   private readonly _lanes = new Map<string, ILane>()
@@ -38,12 +42,12 @@
 
   public constructor (public profile: IProfile) {}
 
-  /** Callers with something waiting. */
+  /** The number of callers with queued work. */
   public get activeCallers (): number {
     return this._activeCallers
   }
 
-  /** Callers remembered, with something here or not. */
+  /** The number of callers remembered, with or without work. */
   public get knownCallers (): number {
     return this._callers.size
   }
@@ -66,10 +70,10 @@
   }
 
   /**
-   * Takes an entry out, wherever it stands, in logarithmic time.
+   * Removes an entry from any position in logarithmic time.
    *
-   * Made for waves of cancellations. Marking entries and skipping the marked ones later would leave tens of
-   * thousands of them to one unlucky placement, seen as a pause; here each cancellation pays for itself.
+   * In a wave of cancellations, marking entries and skipping them later would leave tens of thousands of them to a
+   * single placement, which would cause a pause. Here each cancellation bears its own cost.
    */
   public remove (entry: IQueueEntry): void {
     const { line } = entry
@@ -79,11 +83,11 @@
   }
 
   /**
-   * The next entry of the caller that was served least, among the lanes that are not blocked.
+   * Returns the next entry of the caller that was charged least, among the lanes that are not blocked.
    *
-   * @param isScarce when set, callers that run far more than their even share are passed over. Made for one caller that
-   * could fill every slot: the others would wait for a slot to come free each time, though they use little. With the last few
-   * slots left to them they are served at once, as if they were alone.
+   * @param isScarce when set, callers that run far more than their even share are skipped. Otherwise a caller that
+   * could fill every slot would make the others wait for a slot each time, though they use little. With the last few
+   * slots left to them, they are served at once, as if they were alone.
    */
   public peek (isBlocked: LaneFilter, isScarce: boolean): IQueueEntry | undefined {
     let best: ICallerLine | undefined
@@ -104,10 +108,8 @@
   }
 
   /**
-   * Corrects the charge when the true cost is known.
-   *
-   * Made for callers whose declared run times are far off: charged by declaration, one that declares a tenth of what
-   * it takes would get ten times the share of the others, who see their waits grow for no fault of theirs.
+   * Replaces the estimated charge by the actual cost. Without the correction, a caller that declares a tenth of its run
+   * times would get ten times the share of the others, whose waits would grow.
    */
   public settle (caller: string, estimatedMs: number, actualMs: number): void {
     const share = this._callers.get(caller)
@@ -151,7 +153,7 @@
     return line
   }
 
-  /** A caller that comes back after a rest starts level with the others: a rest saves up no claim to be served first. */
+  /** Moves a caller that was idle up to the current virtual time: idle time earns no claim to be served first. */
   private _catchUp (share: ICallerShare): void {
     this._moveTo(share, Math.max(share.virtualMs, this._callerVirtualMs))
   }
@@ -173,7 +175,7 @@
     if (lane.lineOf.size === 0) this._lanes.delete(lane.key)
   }
 
-  /** Moves a caller on the virtual time; its lines are ordered by it, so they are taken out and put back. */
+  /** Sets a caller's virtual time; its queues are ordered by it, so they are removed and inserted again. */
   private _moveTo (share: ICallerShare, virtualMs: number): void {
     for (const line of share.lines) line.lane.lines.delete(line)
     share.virtualMs = virtualMs
@@ -201,11 +203,11 @@
   }
 
   /**
-   * Forgets callers that have nothing here, and with them what they still owe.
+   * Removes callers without queued or running work, and with them the cost that they were charged beyond the others.
    *
-   * Made for callers that come once. The virtual time stands still while each request is of a new caller, so all of them would
-   * seem to owe something and be kept for ever: memory grows by some 200 bytes a request. What is forgiven is small, since a
-   * look comes only after a thousand new callers, and none that keeps coming is without a request for long.
+   * The virtual time doesn't advance while each request comes from a new caller, so all these callers would seem to be
+   * ahead and be kept for ever: memory would grow by some 200 bytes a request. Little charge is lost, since the scan
+   * runs only after a thousand new callers, and a caller that keeps coming is rarely without a request for long.
    */
   private _sweep (): void {
     for (const [name, share] of this._callers) {
--- a/src/common/policy/QueueTypes.ts
+++ b/src/common/policy/QueueTypes.ts
@@ -1,5 +1,6 @@
 /**
- * What the queue of a profile consists of: entries in lines of callers, lines in lanes.
+ * The types of a profile's queue. It consists of lanes, a lane holds one queue for each caller, and a caller's queue
+ * holds entries.
  */
 
 import type BTreeModule from 'sorted-btree'
@@ -11,23 +12,23 @@
 
 export interface IQueueEntry {
   readonly item: IWorkItem
-  /** What it is expected to use: as declared, or more where its service was seen to use more. */
+  /** The expected usage: as declared, or more where the service was seen to use more. */
   readonly need: IResources
   readonly queue: ProfileQueue
   readonly line: ICallerLine
-  /** The order among the caller's own items: the deadline of urgent ones, the arrival of others. */
+  /** The sort key among the caller's own items: the deadline of urgent items, the arrival time of others. */
   readonly orderMs: MonotonicMs
   readonly sequence: number
-  /** The estimated share of the capacity it will take times its run time. */
+  /** The estimated share of the capacity that the item takes, times its run time. */
   readonly costMs: number
-  /** After this it can't end before its deadline. */
+  /** An item that starts later than this can't end before its deadline. */
   readonly latestStartAtMs: MonotonicMs
 }
 
-/** What one caller of this profile has had. */
+/** The state of one caller in one profile. */
 export interface ICallerShare {
   readonly caller: string
-  /** The cost it was served, on the profile's virtual time: the lowest is served next. */
+  /** The cost charged so far, on the profile's virtual time: the caller with the lowest value is served next. */
   virtualMs: number
   queuedCount: number
   queuedCostMs: number
@@ -42,11 +43,11 @@
   readonly entries: SortedSet<IQueueEntry>
 }
 
-/** Items of one lane need about the same room and the same quota: what blocks the first blocks the rest. */
+/** A lane groups items that need about the same capacity and the same quota: what blocks the first blocks the rest. */
 export interface ILaneKey {
-  /** Names the room needed; the same in every profile. */
+  /** Identifies the needed capacity; the same in every profile. */
   readonly shape: string
-  /** Whose quota is charged. */
+  /** The team whose quota is charged. */
   readonly team: string
 }
 
--- a/src/common/policy/Resources.ts
+++ b/src/common/policy/Resources.ts
@@ -4,7 +4,7 @@
 
 import type { IResources } from '../Types.js'
 
-/** A vector that its owner updates in place; everyone else sees it as read-only `IResources`. */
+/** A vector that its owner updates in place; all others see it as read-only `IResources`. */
 export interface IMutableResources {
   cores: number
   memoryBytes: number
@@ -13,7 +13,7 @@
 
 export const NO_RESOURCES: IResources = { cores: 0, memoryBytes: 0, accelerators: 0 }
 
-/** Cores are fractions; sums of them may be off by rounding, which must not refuse an exact fit. */
+/** Core counts are fractions: a rounding error in a sum of them must not refuse an exact fit. */
 export const CORE_ROUNDING = 1e-6
 
 export function zeroResources (): IMutableResources {
@@ -40,7 +40,7 @@
   }
 }
 
-/** The larger of both, dimension by dimension. */
+/** The larger value in each dimension. */
 export function larger (a: IResources, b: IResources): IResources {
   return {
     cores: Math.max(a.cores, b.cores),
--- a/src/common/policy/RetryBudget.ts
+++ b/src/common/policy/RetryBudget.ts
@@ -1,5 +1,5 @@
 /**
- * How many further attempts the work of one service may make: successes earn them, further attempts spend them.
+ * Limits the retries of one service's work: each success earns a fraction of a retry, each retry spends one.
  */
 
 import { err, ok } from 'neverthrow'
@@ -10,13 +10,13 @@
 import type { IWorkItem } from './Types.js'
 
 export interface IRetryBudgetOptions {
-  /** What one success earns, in attempts. */
+  /** What one success earns, in retries. */
   readonly earnedPerSuccess: number
-  /** The most that can be saved, in attempts. */
+  /** The most that can be saved, in retries. */
   readonly maxSaved: number
 }
 
-/** One further attempt for ten successes adds at most a tenth to the load; ten saved ones cover a short fault at low load. */
+/** One retry per ten successes adds at most a tenth to the load; ten saved retries cover a short fault at low load. */
 export const DEFAULT_RETRY_BUDGET: IRetryBudgetOptions = { earnedPerSuccess: 0.1, maxSaved: 10 }
 
 export class RetryBudget {
@@ -31,11 +31,11 @@
   }
 
   /**
-   * Grants one more attempt for work that has made `attempts` already.
+   * Grants a retry for work that has made `attempts` attempts already.
    *
-   * Made for an upstream that fails most of what it gets. A fixed number of attempts each would multiply the load just
-   * then: attempts rise while answers fall. Paid from successes, further attempts dry up as successes do. Work that
-   * must not run twice gets none, because nobody can tell whether the failed attempt took effect.
+   * When an upstream fails most of what it gets, a fixed number of retries per item would multiply the load at the
+   * worst time. Since successes pay for retries, retries cease when successes do. Work that is not idempotent gets no
+   * retry, because it is unknown whether the failed attempt took effect.
    */
   public tryTake (item: IWorkItem, attempts: number): Result<void, RefusedError> {
     if (!item.idempotent) return refuse(item, 'not idempotent')
--- a/src/common/policy/ReturnBook.ts
+++ b/src/common/policy/ReturnBook.ts
@@ -1,13 +1,13 @@
 /**
- * The work that was refused with a time to come back: the room it was promised is not promised to others.
+ * Records the capacity promised to refused work at its retry time, so that it is not promised again.
  */
 
 import type { MonotonicMs } from '../Types.js'
 
-/** The most promises kept; a refusal beyond them gives a time but no promise, so memory stays below 20 MB. */
+/** The most promises stored; a refusal beyond them gives a retry time but no promise, so memory stays below 20 MB. */
 const MAX_PROMISES = 50_000
 
-/** A promise lapses when its holder is this late: it has given up or gone elsewhere. */
+/** A promise expires when the work is this late: its caller has given up or gone elsewhere. */
 const HELD_FOR_MS = 2_000
 
 interface IPromise {
@@ -38,7 +38,7 @@
     this._count(caller, costMs)
   }
 
-  /** Redeems a promise; false when there is none, it isn't due or it has lapsed. */
+  /** Redeems and removes a promise; false when there is none, it isn't due or it has expired. */
   public take (key: string, nowMs: MonotonicMs): boolean {
     const promise = this._promises.get(key)
     if (promise === undefined) return false
@@ -46,7 +46,7 @@
     return nowMs >= promise.dueAtMs && nowMs < promise.lapsesAtMs
   }
 
-  /** Drops what has lapsed. Looks at a few at a time, in the order they were made, which is nearly that of their lapse. */
+  /** Removes expired promises. Checks a few at a time, in order of creation, which is nearly the order of expiry. */
   public expire (nowMs: MonotonicMs): void {
     let looks = 0
     for (const promise of this._promises.values()) {
--- a/src/common/policy/RoomForecast.ts
+++ b/src/common/policy/RoomForecast.ts
@@ -1,5 +1,5 @@
 /**
- * When room will have come free, if work ends as fast as it does now.
+ * Forecasts when enough capacity will be free, assuming that running work ends at the present rate.
  */
 
 import { addInto, difference, dominantShare, zeroResources } from './Resources.js'
@@ -7,24 +7,24 @@
 import type { CapacityLedger, LedgerHost } from './CapacityLedger.js'
 import type { IGroup } from './GroupBook.js'
 
-/** What is left of the work after a very long time: keeps the logarithm finite. */
+/** The lower limit of the share of work that is left, which keeps the logarithm finite. */
 const LEAST_LEFT_SHARE = 0.01
 
-/** Taken when nothing ends at all. */
+/** The lower limit of the turnover, for when nothing ends at all. */
 const LEAST_TURNOVER_PER_MS = 1e-9
 
 export class RoomForecast {
-  /** @param _turnoverPerMs the share of what is in use that ends per millisecond */
+  /** @param _turnoverPerMs the share of the capacity in use that comes free per millisecond */
   public constructor (private readonly _ledger: CapacityLedger, private readonly _turnoverPerMs: () => number) {}
 
-  /** Until the host has room for what is held on it, in milliseconds. */
+  /** The time until the host's free capacity covers its holds, in milliseconds. */
   public hostMs (host: LedgerHost): number {
     const { capacity } = host.config
     const lacking = dominantShare(difference(host.held, host.unused()), capacity)
     return this._comesFreeInMs(lacking, dominantShare(host.used, capacity))
   }
 
-  /** Until there is room for the whole group on all hosts together, in milliseconds. */
+  /** The time until all hosts together have enough free capacity for the whole group, in milliseconds. */
   public groupMs (group: IGroup): number {
     const sum = zeroResources()
     for (const { need } of group.tasks) addInto(sum, need)
@@ -32,7 +32,7 @@
     return this._comesFreeInMs(lacking, this._ledger.shareOf(this._ledger.used))
   }
 
-  /** Work that ends at a constant rate leaves an exponentially falling share of itself. */
+  /** The time until the lacking share comes free. Work that ends at a constant rate decays exponentially. */
   private _comesFreeInMs (lacking: number, used: number): number {
     if (lacking <= 0 || used <= 0) return 0
     const leftShare = Math.max(1 - lacking / used, LEAST_LEFT_SHARE)
--- a/src/common/policy/RunTimeLearner.ts
+++ b/src/common/policy/RunTimeLearner.ts
@@ -1,5 +1,6 @@
 /**
- * How long the work of each service runs, learnt from what ended, because declared run times are far off.
+ * Estimates how long the work of each service runs from the runs that have ended, because declared run times are
+ * inaccurate.
  */
 
 import { LRUCache } from 'lru-cache'
@@ -7,22 +8,23 @@
 import type { IWorkItem } from './Types.js'
 
 /**
- * Two buckets an octave from 1 ms to 49 days: 0.8 KB a service as measured, against 2.6 KB of an hdr-histogram-js of one digit and
- * 9 KB of one of two digits up to a day; a limit of 128 MB a process leaves no room for those at 10,000 services.
+ * Two buckets per octave from 1 ms to 49 days take 0.8 KB per service. An hdr-histogram-js up to a day takes 2.6 KB
+ * with one digit of precision and 9 KB with two, which is too much for 10,000 services within the limit of 128 MB per
+ * process.
  */
 const BUCKETS = 64
 const BUCKETS_PER_OCTAVE = 2
 
-/** The most services remembered: 10,000 of them stay below 10 MB. The one unused for longest is forgotten first. */
+/** The most services remembered: 10,000 of them stay below 10 MB. The least recently used one is removed first. */
 const MAX_SERVICES = 10_000
 
-/** From this many ends on the learnt figure is trusted before the declared one. */
+/** From this many runs on, the learnt run time replaces the declared one. */
 const MIN_SAMPLES = 5
 
-/** Counts are halved at this total, so that a service that changes is followed within about a thousand ends. */
+/** Counts are halved at this total, so that a change of a service is followed within about a thousand runs. */
 const MAX_SAMPLES = 1_024
 
-/** What a request counts as before anything is known about it. */
+/** The run time assumed when a service has neither enough runs nor a declared run time. */
 const UNKNOWN_RUN_MS = 100
 
 const LONGEST_RUN_MS = 7 * 86_400_000
@@ -49,7 +51,7 @@
     times.totalMs += Math.min(runMs, LONGEST_RUN_MS)
   }
 
-  /** The mean, for costs and drain rates: sums of means are right where sums of medians are not. */
+  /** The mean run time, for costs and drain rates: means can be summed, medians can't. */
   public meanMs (item: IWorkItem): number {
     const times = this._services.get(item.service)
     if (times === undefined || times.samples < MIN_SAMPLES) return declaredMs(item)
--- a/src/common/policy/RunningWork.ts
+++ b/src/common/policy/RunningWork.ts
@@ -1,5 +1,6 @@
 /**
- * What follows from work starting and ending: capacity, quotas, shares, spread and what may be preempted, in one place.
+ * Updates everything that depends on running work when an item starts or ends: capacity, quotas, fair shares, spread
+ * and the candidates for preemption.
  */
 
 import { DrainRate } from './DrainRate.js'
@@ -15,7 +16,7 @@
 import type { IWorkItem } from './Types.js'
 import type { UseLedger } from './UseLedger.js'
 
-/** An item about to start and what its caller is charged for it. */
+/** An item about to start and the cost that its caller is charged. */
 export interface IStart {
   readonly item: IWorkItem
   readonly need: IResources
@@ -79,13 +80,13 @@
     return { item: running.item, hasFreedRoom: !fits(before, running.counted) }
   }
 
-  /** The share of what is in use that comes free per millisecond. */
+  /** The share of the capacity in use that comes free per millisecond. */
   public turnoverPerMs (): number {
     const inUse = this._ledger.shareOf(this._ledger.used)
     return inUse <= 0 ? Infinity : this._released.perMs(0, this._clock.nowMs()) / inUse
   }
 
-  /** Whether work that needs this and runs long would take room that urgent work is likely to want again. */
+  /** Whether long work with this need would use capacity that urgent work is likely to need again. */
   public isKeptForUrgent (need: IResources): boolean {
     const used = this._ledger.shareOf(this._ledger.used) + this._ledger.shareOf(need)
     return used > 1 - this._reserve.shareToKeep(this._clock.nowMs())
--- a/src/common/policy/ShiftPolicy.test.ts
+++ b/src/common/policy/ShiftPolicy.test.ts
@@ -16,7 +16,7 @@
   return { item: work('a'), ownRegion: 'west', ownWaitMs: 5_000, hasMoved: false, nowMs: 0, ...changes }
 }
 
-test('work moves within the region, and to another one only where its profile finds it worth the bytes', (t) => {
+test('work moves within the region, and to another one only if its profile allows it and the gain is large enough', (t) => {
   const policy = new ShiftPolicy(new SeededRandom(1))
   policy.putSummary(summary('far', 'east', 0))
   t.is(policy.choose(request()), undefined)
@@ -28,9 +28,10 @@
 })
 
 /*
- * Two schedulers with nearly the same wait each find the other a little better. Work that moves on that sign goes to and fro.
+ * Two schedulers have nearly the same wait, and each sees a slightly shorter wait at the other. Work that moves for
+ * such a small difference would move back and forth.
  */
-test('work does not move for a small gain, twice, or on old news', (t) => {
+test('work does not move for a small gain, twice or on an old summary', (t) => {
   const policy = new ShiftPolicy(new SeededRandom(1))
   policy.putSummary(summary('near', 'west', 4_000))
   t.is(policy.choose(request()), undefined)
@@ -40,9 +41,10 @@
 })
 
 /*
- * A scheduler says that it is nearly idle, and everybody who hears it sends what waits. A second later it is the one with the longest queue.
+ * A scheduler reports that it is nearly idle, and all others move their queued work to it. A second later it has the
+ * longest queue.
  */
-test('no more moves to a scheduler than fill a part of what it had free', (t) => {
+test('the work moved to a scheduler fills only a part of its free capacity', (t) => {
   const policy = new ShiftPolicy(new SeededRandom(1))
   policy.putSummary(summary('near', 'west', 0, 60))
   const moved = Array.from({ length: 50 }, () => policy.choose(request())).filter((id) => id !== undefined).length
--- a/src/common/policy/ShiftPolicy.ts
+++ b/src/common/policy/ShiftPolicy.ts
@@ -1,5 +1,6 @@
 /**
- * Whether queued work moves to another scheduler: only where that saves more than it costs, once, and not by the herd.
+ * Decides whether a queued item moves to another scheduler: at most once, only where the gain exceeds the cost, and not
+ * so many at a time that the other scheduler is flooded.
  */
 
 import { dominantShare, fits } from './Resources.js'
@@ -7,22 +8,31 @@
 import type { IRandom, MonotonicMs } from '../Types.js'
 import type { IEngineLoad, IWorkItem } from './Types.js'
 
-/** Within a region a move costs a few milliseconds; below this gain it isn't worth the message. */
+/**
+ * The least gain of a move: within a region a move costs a few milliseconds, and a smaller gain isn't worth the
+ * message.
+ */
 const MIN_GAIN_MS = 200
 
-/** The other's wait must be below this share of ours: between nearly equal schedulers work would swing to and fro. */
+/**
+ * The other scheduler's wait must be below this share of this scheduler's wait; otherwise work would move back and
+ * forth between nearly equal schedulers.
+ */
 const MAX_WAIT_SHARE = 0.5
 
-/** A summary older than this says nothing about the present. */
+/** The maximum age of a summary; an older one doesn't describe the present load. */
 const MAX_SUMMARY_AGE_MS = 3_000
 
-/** Moves to one scheduler between two of its summaries fill at most this share of what it had free; others see the same. */
+/**
+ * Between two summaries of a scheduler, moves to it fill at most this share of its free capacity, because other
+ * schedulers see the same free capacity.
+ */
 const MAX_FILL_SHARE = 0.25
 
-/** Sums of shares are off by rounding. */
+/** The tolerance for rounding errors in sums of shares. */
 const SHARE_ROUNDING = 1e-9
 
-/** What another scheduler told about itself. */
+/** What another scheduler reported about itself. */
 export interface ISchedulerSummary {
   readonly schedulerId: string
   readonly region: string
@@ -34,7 +44,7 @@
   readonly item: IWorkItem
   readonly ownRegion: string
   readonly ownWaitMs: number
-  /** Moved work stays where it is. */
+  /** Whether the item was moved before; it isn't moved again then. */
   readonly hasMoved: boolean
   readonly nowMs: MonotonicMs
 }
@@ -58,12 +68,13 @@
   }
 
   /**
-   * The scheduler to move the item to, if any.
+   * Returns the scheduler to move the item to, if any.
    *
-   * Made for load that is skewed over schedulers whose summaries are a second old. If all moved to the one that looked
-   * best, it would be flooded and all would move back: one sees waits swing and moved bytes rise. So a move needs a clear
-   * gain, each item moves once, two candidates are drawn at random and the better one is taken, and what was moved
-   * since a summary counts against it. Another region needs the profile's leave and the gain that it asks for.
+   * Load may be skewed over schedulers whose summaries are a second old. If all moved work to the one that looked best,
+   * they would flood it and then move the work back: waits would oscillate and traffic would rise. So a move needs a
+   * clear gain, each item moves once, two candidates are drawn at random and the better one is chosen, and work moved
+   * since the last summary counts against it. A move to another region needs the permission of the profile and the gain
+   * that the profile demands.
    */
   public choose (request: IShiftRequest): string | undefined {
     if (request.hasMoved || request.ownWaitMs < MIN_GAIN_MS) return undefined
@@ -75,7 +86,7 @@
     return chosen.summary.schedulerId
   }
 
-  /** Of two drawn at random, the one with the shorter wait that is worth the move. */
+  /** Draws two peers at random of those worth the move and returns the one with the shorter wait. */
   private _better (peers: readonly IPeer[], request: IShiftRequest): IPeer | undefined {
     const worthIt = peers.filter((peer) => isWorthIt(peer, request))
     const first = this._draw(worthIt)
--- a/src/common/policy/SizeLearner.ts
+++ b/src/common/policy/SizeLearner.ts
@@ -1,5 +1,5 @@
 /**
- * How much the tasks of each service use beyond what they declare, learnt from reported use.
+ * Estimates from reported usage how far the tasks of each service exceed their declared size.
  */
 
 import { LRUCache } from 'lru-cache'
@@ -9,13 +9,13 @@
 
 const MAX_SERVICES = 10_000
 
-/** Reports from which the learnt size is trusted. */
+/** The number of reports from which the learnt size is used. */
 const MIN_REPORTS = 5
 
-/** The weight of a new report: a service that changes is followed within some tens of tasks. */
+/** The weight of a new report: a change of a service is followed within some tens of tasks. */
 const REPORT_WEIGHT = 0.05
 
-/** A declared size is scaled by no more than this; one report gone wrong must not make a service impossible to place. */
+/** The largest factor applied to a declared size: one wrong report must not make a service impossible to place. */
 const MAX_FACTOR = 10
 
 interface IFactors {
@@ -37,10 +37,10 @@
   }
 
   /**
-   * What a task is expected to use before its own report comes.
+   * The expected usage of a task before its own usage is reported.
    *
-   * Made for services that declare far too little. Reports lag by seconds, and by the declared size a host would be
-   * filled several times over in the meantime: one sees hosts over their capacity though the ledger never was.
+   * Reports lag by seconds. Until then, a service that declares far too little would overfill a host several times over
+   * by its declared sizes, and the host would be over its capacity although the ledger is not.
    */
   public expected (item: IWorkItem): IResources {
     const factors = this._services.get(item.service)
@@ -51,7 +51,7 @@
   }
 }
 
-/** Use below the declared size counts as declared, as in the ledger. */
+/** Usage below the declared size counts as declared, as in the ledger. */
 function factorOf (used: number, declared: number): number {
   return declared <= 0 ? 1 : Math.min(Math.max(used / declared, 1), MAX_FACTOR)
 }
--- a/src/common/policy/StopPlan.ts
+++ b/src/common/policy/StopPlan.ts
@@ -1,5 +1,6 @@
 /**
- * Which stops are under way for urgent work, so that no more are asked for than it needs and no profile loses its floor.
+ * Chooses the stops for urgent work and tracks the pending ones, so that no more items are stopped than urgent work
+ * needs and no profile falls below its floor.
  */
 
 import { addInto } from './Resources.js'
@@ -18,7 +19,7 @@
 }
 
 export class StopPlan {
-  /** Items being stopped, and the shape of the urgent work that each makes room for. */
+  /** Items being stopped, by id, with the shape of the urgent work that each of them makes way for. */
   private readonly _stopping = new Map<string, string>()
 
   public constructor (
@@ -33,10 +34,11 @@
   }
 
   /**
-   * The items to stop now for an urgent entry; none while as many stops are under way as there are items like it.
+   * Returns the items to stop now for an urgent entry; none while as many stops are pending as there are entries like
+   * it.
    *
-   * Made for many urgent items that wait at once while stops take effect with a delay: asked again for each look at the
-   * queue, all preemptible work would be stopped within milliseconds for a few urgent tasks.
+   * Stops take effect with a delay. Without the count of pending stops, each decision for a waiting urgent item would
+   * request more, and all preemptible work would be stopped within milliseconds for a few urgent tasks.
    */
   public choose (entry: IQueueEntry, nowMs: MonotonicMs): readonly IStop[] {
     const { item, need, line } = entry
@@ -56,7 +58,7 @@
     return count
   }
 
-  /** Whether the profile keeps its floor without `lost` and without what is being stopped already. */
+  /** Whether the profile keeps its floor without `lost` and without what is already being stopped. */
   private _keepsFloor (profile: IProfile, lost: IResources): boolean {
     const leaving = { ...lost }
     for (const itemId of this._stopping.keys()) {
--- a/src/common/policy/UrgentReserve.ts
+++ b/src/common/policy/UrgentReserve.ts
@@ -1,10 +1,14 @@
 /**
- * Room that urgent work used of late and is likely to want again: not given to work that would keep it for long.
+ * Tracks capacity that urgent work used recently and is likely to need again. It is kept from work that would occupy it
+ * for long.
  */
 
 import type { MonotonicMs } from '../Types.js'
 
-/** The remembered peak halves in this time; a stream with gaps of seconds keeps its room, one that has ended gives it up. */
+/**
+ * The half-life of the remembered peak: a stream of urgent work with gaps of seconds keeps its capacity, one that has
+ * ended releases it.
+ */
 const HALF_LIFE_MS = 30_000
 
 export class UrgentReserve {
@@ -12,7 +16,7 @@
   private _peakShare = 0
   private _peakAtMs: MonotonicMs = 0
 
-  /** Urgent work that takes `share` of the capacity started (positive) or ended (negative). */
+  /** Records that urgent work using `share` of the capacity started (positive) or ended (negative). */
   public add (share: number, nowMs: MonotonicMs): void {
     this._currentShare = Math.max(0, this._currentShare + share)
     const decayedShare = this._decayedPeak(nowMs)
@@ -23,8 +27,8 @@
   /**
    * The share of the capacity to keep free of long work.
    *
-   * Made for short urgent tasks that come and go on hosts full of long preemptible ones. Each place that one of them leaves
-   * would go to a long task, only to be taken back by a stop a moment later: one sees many stops and work thrown away.
+   * Short urgent tasks come and go on hosts full of long preemptible ones. If each place that an urgent task leaves
+   * went to a long task, that task would be stopped again a moment later, and many stops would discard much work.
    */
   public shareToKeep (nowMs: MonotonicMs): number {
     return Math.max(0, this._decayedPeak(nowMs) - this._currentShare)
--- a/src/common/policy/UseLedger.ts
+++ b/src/common/policy/UseLedger.ts
@@ -1,5 +1,6 @@
 /**
- * What each profile and each team has running, against the floors and quotas that operators set.
+ * Tracks the running work of each profile and each team, and checks it against the quotas and limits that operators
+ * set.
  */
 
 import { addInto, dominantShare, subtractFrom, zeroResources } from './Resources.js'
@@ -9,7 +10,7 @@
 import type { IMutableResources } from './Resources.js'
 import type { IWorkItem } from './Types.js'
 
-/** What a host offers: slots for requests, or cores, memory and accelerators for tasks. */
+/** What hosts offer: slots for requests, or cores, memory and accelerators for tasks. */
 export type CapacityKind = 'slots' | 'resources'
 
 interface IUse {
@@ -42,7 +43,7 @@
     }
   }
 
-  /** Reported use has changed what a running item counts for. */
+  /** Updates the usage of a running item after a report. */
   public recount (item: IWorkItem, before: IResources, after: IResources): void {
     for (const use of this._usesOf(item)) {
       subtractFrom(use.resources, before)
@@ -54,7 +55,7 @@
     return this._profiles.get(name)?.count ?? 0
   }
 
-  /** The share of `capacity` that the profile takes in its dominant resource. */
+  /** The share of `capacity` that the profile uses in its dominant resource. */
   public profileShare (name: string, capacity: IResources): number {
     const use = this._profiles.get(name)
     return use === undefined ? 0 : dominantShare(use.resources, capacity)
@@ -64,7 +65,7 @@
     return this.profileCount(profile.name) + count <= profile.maxRunning
   }
 
-  /** Whether the team's quota leaves room for all of these now; they are of one team. */
+  /** Whether the team's quota allows all of these items now; they belong to one team. */
   public isWithinQuota (items: readonly IWorkItem[]): boolean {
     const [first] = items
     const quota = first === undefined ? undefined : this._quotas.get(first.team)
@@ -72,7 +73,7 @@
     return this._fitsQuota(items, quota, this._teams.get(first.team))
   }
 
-  /** Whether they would be within their team's quota if nothing else of the team ran. */
+  /** Whether the items would be within their team's quota if nothing else of the team ran. */
   public couldEverRun (items: readonly IWorkItem[]): boolean {
     const [first] = items
     const quota = first === undefined ? undefined : this._quotas.get(first.team)
--- a/src/common/policy/WorkEstimates.ts
+++ b/src/common/policy/WorkEstimates.ts
@@ -1,5 +1,5 @@
 /**
- * What an item will cost and how long it may wait, from what was learnt about its service.
+ * Estimates the size, the cost and the latest start of an item from what was learnt about its service.
  */
 
 import { RunTimeLearner } from './RunTimeLearner.js'
@@ -9,13 +9,19 @@
 import type { CapacityLedger } from './CapacityLedger.js'
 import type { IWorkItem } from './Types.js'
 
-/** A request is given up when its typical run no longer fits before its deadline, but never before half its time. */
+/**
+ * A request is given up when its median run no longer fits before its deadline, but never within the first half of the
+ * time that it is allowed.
+ */
 const MAX_RUN_SHARE_OF_DEADLINE = 0.5
 
-/** Work is let into gathered room if this share of its kind has ended by the time the room is needed. */
+/**
+ * Work may backfill held capacity if this share of its service's runs would have ended by the time the capacity is
+ * needed.
+ */
 const BACKFILL_CONFIDENCE = 0.95
 
-/** Work that may run longer than this is kept out of room that urgent work is likely to want again. */
+/** Work that may run longer than this is kept out of capacity that urgent work is likely to need again. */
 const LONG_RUN_MS = 5_000
 
 export class WorkEstimates {
@@ -36,18 +42,18 @@
     this._sizes.note(item, usage)
   }
 
-  /** What it is expected to use, unless no host could hold that: then what it declares. */
+  /** The expected usage of an item, or its declared size if no host could hold the expected usage. */
   public need (item: IWorkItem): IResources {
     const expected = this._sizes.expected(item)
     return expected === item.resources || !this._ledger.isFeasible(expected) ? item.resources : expected
   }
 
-  /** Its share of the capacity times its run time. */
+  /** The item's share of the capacity times its mean run time. */
   public costMs (item: IWorkItem, need: IResources): number {
     return this._ledger.shareOf(need) * this._runTimes.meanMs(item)
   }
 
-  /** After this it would end too late for its caller. */
+  /** The latest start at which the item still ends before its deadline. */
   public latestStartAtMs (item: IWorkItem): MonotonicMs {
     const allowedMs = item.deadlineAtMs - item.arrivedAtMs
     if (allowedMs === Infinity) return Infinity
@@ -59,7 +65,7 @@
     return item.profile.priorityClass !== 'urgent' && this.endsWithinMs(item) > LONG_RUN_MS
   }
 
-  /** By when it will almost certainly have ended, if started now. */
+  /** How long the item will run, at a confidence of `BACKFILL_CONFIDENCE`. */
   public endsWithinMs (item: IWorkItem): number {
     return this._runTimes.quantileMs(item, BACKFILL_CONFIDENCE)
   }
