--- a/src/common/policy/AcceleratorReserve.ts
+++ b/src/common/policy/AcceleratorReserve.ts
@@ -4,11 +4,8 @@
 
 import type { IClock, MonotonicMs } from '../Types.js'
 
-/**
- * Longer than the gaps in a steady stream of accelerator work; without such work, a cell loses the reserved capacity
- * for no longer than this.
- */
-const KEPT_MS = 30_000
+/** Longer than the gaps in a steady stream of accelerator work; without such work, a cell loses the reserved capacity for no longer than this. */
+const RESERVE_MS = 30_000
 
 export class AcceleratorReserve {
   private _endsAtMs: MonotonicMs = -Infinity
@@ -16,8 +13,8 @@
   public constructor (private readonly _clock: IClock) {}
 
   /** Records that accelerator work has arrived, which extends the reserve. */
-  public noteArrival (): void {
-    this._endsAtMs = this._clock.nowMs() + KEPT_MS
+  public recordArrival (): void {
+    this._endsAtMs = this._clock.nowMs() + RESERVE_MS
   }
 
   /**
@@ -25,7 +22,7 @@
    * no work needs for a while. If their capacity were kept for ever, plain work would stay in the queue beside idle
    * hosts.
    */
-  public get isKept (): boolean {
+  public get isActive (): boolean {
     return this._clock.nowMs() < this._endsAtMs
   }
 
--- a/src/common/policy/Admission.test.ts
+++ b/src/common/policy/Admission.test.ts
@@ -7,14 +7,14 @@
 const SERVICE_MS = 100
 
 /** A host of one slot that always has work, so that the drain rate is ten requests a second. */
-function busyEngine (): { admit: (id: string, caller?: string) => AdmitDecision, pass: (ms: number) => void, given: string[] } {
+function busyEngine (): { admit: (id: string, caller?: string) => AdmitDecision, advance: (ms: number) => void, givenUp: string[] } {
   const { clock, engine } = engineWith('slots', host('h1', { cores: 1, memoryBytes: 0, accelerators: 0 }))
-  const given: string[] = []
+  const givenUp: string[] = []
   let running: IWorkItem | undefined
   let endsAtMs = 0
-  const carryOut = (): void => {
+  const applyDecisions = (): void => {
     for (const decision of decisions(engine)) {
-      if (decision.type === 'giveUp') given.push(decision.item.id)
+      if (decision.type === 'giveUp') givenUp.push(decision.item.id)
       if (decision.type !== 'place') continue
       running = decision.item
       endsAtMs = clock.nowMs() + SERVICE_MS
@@ -23,10 +23,10 @@
   const admit = (id: string, caller = 'caller'): AdmitDecision => {
     const arrivedAtMs = clock.nowMs()
     const decision = engine.admit(work(id, { caller, profile: profile({ deadlineMs: 2_000 }), arrivedAtMs, deadlineAtMs: arrivedAtMs + 2_000 }))
-    carryOut()
+    applyDecisions()
     return decision
   }
-  const pass = (ms: number): void => {
+  const advance = (ms: number): void => {
     for (let i = 0; i < ms; i += 10) {
       clock.advance(10)
       if (running !== undefined && clock.nowMs() >= endsAtMs) {
@@ -34,10 +34,10 @@
         running = undefined
         engine.finished(id, 'succeeded', SERVICE_MS)
       }
-      carryOut()
+      applyDecisions()
     }
   }
-  return { admit, pass, given }
+  return { admit, advance, givenUp }
 }
 
 /*
@@ -46,14 +46,14 @@
  * time.
  */
 test('surplus requests are refused at once and admitted requests are served in time', (t) => {
-  const { admit, pass, given } = busyEngine()
+  const { admit, advance, givenUp } = busyEngine()
   let refused = 0
   for (let i = 0; i < 200; i++) {
     if (!admit(`r${i}`).admitted) refused += 1
-    pass(30)
+    advance(30)
   }
   t.true(refused > 100 && refused < 150, `${refused} of 200 refused`)
-  t.deepEqual(given, [])
+  t.deepEqual(givenUp, [])
 })
 
 /*
@@ -61,14 +61,14 @@
  * the capacity.
  */
 test('surplus requests are also refused when each comes from another caller', (t) => {
-  const { admit, pass, given } = busyEngine()
+  const { admit, advance, givenUp } = busyEngine()
   let refused = 0
   for (let i = 0; i < 200; i++) {
     if (!admit(`r${i}`, `caller-${i}`).admitted) refused += 1
-    pass(30)
+    advance(30)
   }
   t.true(refused > 100 && refused < 150, `${refused} of 200 refused`)
-  t.deepEqual(given, [])
+  t.deepEqual(givenUp, [])
 })
 
 /*
@@ -76,23 +76,23 @@
  * the same caller would be refused on each return.
  */
 test('a refused request that returns at its retry time is admitted', (t) => {
-  const { admit, pass } = busyEngine()
-  const due: { readonly id: string, readonly atMs: number }[] = []
+  const { admit, advance } = busyEngine()
+  const retries: { readonly id: string, readonly atMs: number }[] = []
   let nowMs = 0
-  let met = 0
+  let admitted = 0
   let returned = 0
   for (let i = 0; i < 600; i++) {
     const decision = i < 200 ? admit(`r${i}`) : undefined
-    if (decision?.admitted === false) due.push({ id: `r${i}`, atMs: nowMs + decision.retryAfterMs })
-    pass(30)
+    if (decision?.admitted === false) retries.push({ id: `r${i}`, atMs: nowMs + decision.retryAfterMs })
+    advance(30)
     nowMs += 30
-    for (const { id } of due.filter(({ atMs }) => atMs > nowMs - 30 && atMs <= nowMs)) {
+    for (const { id } of retries.filter(({ atMs }) => atMs > nowMs - 30 && atMs <= nowMs)) {
       returned += 1
-      if (admit(`${id}#1`).admitted) met += 1
+      if (admit(`${id}#1`).admitted) admitted += 1
     }
   }
   t.true(returned > 50)
-  t.true(met / returned >= 0.9, `${met} of ${returned} met`)
+  t.true(admitted / returned >= 0.9, `${admitted} of ${returned} met`)
 })
 
 test('retry delays have jitter', (t) => {
--- a/src/common/policy/Admission.ts
+++ b/src/common/policy/Admission.ts
@@ -13,18 +13,15 @@
 const MAX_QUEUED = 200_000
 
 /** Below this share of the allowed wait, first-time work is admitted whatever was promised to refused work. */
-const UNPROMISED_SHARE = 0.3
+const ALWAYS_ADMITTED_SHARE = 0.3
 
 /** Above that, first-time work is admitted while the wait including all promises stays below this share. */
-const NEWCOMER_SHARE = 0.7
+const FIRST_TIME_SHARE = 0.7
 
 /** Returning work is admitted while the wait stays below this share; the rest covers an error in the rate. */
-const RETURNER_SHARE = 0.9
+const RETURNING_SHARE = 0.9
 
-/**
- * Bounds of the retry delay: below the minimum, refusing costs more than running; above the maximum, callers forget to
- * return.
- */
+/** Bounds of the retry delay: below the minimum, refusing costs more than running; above the maximum, callers forget to return. */
 const MIN_RETRY_AFTER_MS = 100
 const MAX_RETRY_AFTER_MS = 600_000
 
@@ -32,10 +29,10 @@
 const UNKNOWN_RETRY_AFTER_MS = 1_000
 
 /** Retry delays get random jitter of up to this share, so that refused callers don't return at the same moment. */
-const RETRY_SPREAD = 0.3
+const RETRY_JITTER_SHARE = 0.3
 
 /** The lower limit of the drain rate, so that a stalled profile gives a long wait and no division by zero. */
-const LEAST_DRAIN_PER_MS = 1e-6
+const MIN_DRAIN_PER_MS = 1e-6
 
 export interface IAdmissionRequest {
   readonly item: IWorkItem
@@ -50,7 +47,7 @@
 
 interface IProfileState {
   readonly rate: DrainRate
-  readonly promised: ReturnBook
+  readonly promises: ReturnBook
 }
 
 export class Admission {
@@ -72,79 +69,73 @@
    */
   public decide (request: IAdmissionRequest): AdmitDecision {
     const nowMs = this._clock.nowMs()
-    const state = this._state(request.queue.profile.name)
-    state.promised.expire(nowMs)
-    const isReturner = state.promised.take(promiseKey(request.item), nowMs)
+    const state = this._stateOf(request.queue.profile.name)
+    state.promises.removeExpired(nowMs)
+    const isReturning = state.promises.redeem(promiseKey(request.item), nowMs)
     if (request.totalQueued >= MAX_QUEUED) return this.refuse('overloaded', 'the queue is full')
-    const perMs = Math.max(state.rate.perMs(request.priorRate, nowMs), LEAST_DRAIN_PER_MS)
+    const perMs = Math.max(state.rate.perMs(request.priorRate, nowMs), MIN_DRAIN_PER_MS)
     const waitMs = this._waitMs(request, perMs, undefined)
-    if (isReturner && waitMs <= RETURNER_SHARE * request.slackMs) return { admitted: true, expectedWaitMs: waitMs }
-    if (waitMs <= UNPROMISED_SHARE * request.slackMs) return { admitted: true, expectedWaitMs: waitMs }
-    const promisedWaitMs = this._waitMs(request, perMs, state.promised)
-    if (promisedWaitMs <= NEWCOMER_SHARE * request.slackMs) return { admitted: true, expectedWaitMs: waitMs }
-    return this._refuseLate(request, state, promisedWaitMs, nowMs)
+    if (isReturning && waitMs <= RETURNING_SHARE * request.slackMs) return { admitted: true, expectedWaitMs: waitMs }
+    if (waitMs <= ALWAYS_ADMITTED_SHARE * request.slackMs) return { admitted: true, expectedWaitMs: waitMs }
+    const promisedWaitMs = this._waitMs(request, perMs, state.promises)
+    if (promisedWaitMs <= FIRST_TIME_SHARE * request.slackMs) return { admitted: true, expectedWaitMs: waitMs }
+    return this._refuseWithPromise(request, state, promisedWaitMs, nowMs)
   }
 
   public refuse (reason: OutcomeReason, detail: string): AdmitDecision {
-    return { admitted: false, reason, detail, retryAfterMs: this.spread(UNKNOWN_RETRY_AFTER_MS) }
+    return { admitted: false, reason, detail, retryAfterMs: this.withJitter(UNKNOWN_RETRY_AFTER_MS) }
   }
 
   /** The wait that the last queued item of the profile would have now. */
   public expectedWaitMs (queue: ProfileQueue, priorRate: number): number {
     if (queue.queuedCount === 0) return 0
-    const perMs = this._state(queue.profile.name).rate.perMs(priorRate, this._clock.nowMs())
-    return queue.queuedCostMs / Math.max(perMs, LEAST_DRAIN_PER_MS)
+    const perMs = this._stateOf(queue.profile.name).rate.perMs(priorRate, this._clock.nowMs())
+    return queue.queuedCostMs / Math.max(perMs, MIN_DRAIN_PER_MS)
   }
 
-  public noteQueued (queue: ProfileQueue): void {
-    if (queue.queuedCount === 1) this._state(queue.profile.name).rate.startBacklog(this._clock.nowMs())
+  public recordQueued (queue: ProfileQueue): void {
+    if (queue.queuedCount === 1) this._stateOf(queue.profile.name).rate.startBacklog(this._clock.nowMs())
   }
 
-  public noteStarted (queue: ProfileQueue, costMs: number): void {
-    const { rate } = this._state(queue.profile.name)
-    rate.noteStarted(costMs, this._clock.nowMs())
+  public recordDequeued (queue: ProfileQueue, costMs: number): void {
+    const { rate } = this._stateOf(queue.profile.name)
+    rate.recordDrained(costMs, this._clock.nowMs())
     if (queue.queuedCount === 0) rate.endBacklog()
   }
 
-  public spread (delayMs: number): number {
+  public withJitter (delayMs: number): number {
     const bounded = Math.min(Math.max(delayMs, MIN_RETRY_AFTER_MS), MAX_RETRY_AFTER_MS)
-    return Math.ceil(bounded * (1 + RETRY_SPREAD * this._random.next()))
+    return Math.ceil(bounded * (1 + RETRY_JITTER_SHARE * this._random.next()))
   }
 
-  private _refuseLate (request: IAdmissionRequest, state: IProfileState, waitMs: number, nowMs: MonotonicMs): AdmitDecision {
+  private _refuseWithPromise (request: IAdmissionRequest, state: IProfileState, waitMs: number, nowMs: MonotonicMs): AdmitDecision {
     const { item, costMs, slackMs } = request
-    const retryAfterMs = this.spread(waitMs - UNPROMISED_SHARE * Math.max(slackMs, 0))
-    state.promised.add(promiseKey(item), item.caller, costMs, nowMs + retryAfterMs)
+    const retryAfterMs = this.withJitter(waitMs - ALWAYS_ADMITTED_SHARE * Math.max(slackMs, 0))
+    state.promises.add(promiseKey(item), item.caller, costMs, nowMs + retryAfterMs)
     const detail = `expected wait ${Math.round(waitMs)} ms, ${Math.max(0, Math.round(slackMs))} ms allowed`
     return { admitted: false, reason: 'overloaded', detail, retryAfterMs }
   }
 
-  /**
-   * The smaller of the whole queue's wait and the caller's own wait if the profile were shared evenly among its
-   * callers.
-   */
+  /** The smaller of the whole queue's wait and the caller's own wait if the profile were shared evenly among its callers. */
   private _waitMs (request: IAdmissionRequest, perMs: number, promised: ReturnBook | undefined): number {
     const { queue, item, costMs } = request
-    const share = queue.caller(item.caller)
-    const allMs = queue.queuedCostMs + (promised?.costMs ?? 0)
-    const ownMs = costMs + (share?.queuedCostMs ?? 0) + (promised?.costOf(item.caller) ?? 0)
-    const callers = queue.activeCallers + (share === undefined || share.queuedCount === 0 ? 1 : 0)
-    return Math.min(allMs, ownMs * callers) / perMs
+    const callerState = queue.caller(item.caller)
+    const totalCostMs = queue.queuedCostMs + (promised?.costMs ?? 0)
+    const callerCostMs = costMs + (callerState?.queuedCostMs ?? 0) + (promised?.costOf(item.caller) ?? 0)
+    const activeCallers = queue.activeCallers + (callerState === undefined || callerState.queuedCount === 0 ? 1 : 0)
+    return Math.min(totalCostMs, callerCostMs * activeCallers) / perMs
   }
 
-  private _state (profile: string): IProfileState {
+  private _stateOf (profile: string): IProfileState {
     const known = this._states.get(profile)
     if (known !== undefined) return known
-    const state: IProfileState = { rate: new DrainRate(), promised: new ReturnBook() }
+    const state: IProfileState = { rate: new DrainRate(), promises: new ReturnBook() }
     this._states.set(profile, state)
     return state
   }
 }
 
-/**
- * Attempts of one request share the part of the id before the number sign, so that a promise also holds for the next
- * attempt.
- */
+/** Attempts of one request share the part of the id before the number sign, so that a promise also holds for the next attempt. */
 function promiseKey (item: IWorkItem): string {
   const end = item.id.indexOf('#')
   return end < 0 ? item.id : item.id.slice(0, end)
--- a/src/common/policy/CapacityLedger.ts
+++ b/src/common/policy/CapacityLedger.ts
@@ -69,8 +69,8 @@
   public readonly held: IMutableResources = zeroResources()
   private readonly _hosts = new Map<string, LedgerHost>()
   private readonly _running = new Map<string, IRunningItem>()
-  private readonly _shapes = new Map<string, { readonly capacity: IResources, hosts: number }>()
-  private _removals = 0
+  private readonly _capacityShapes = new Map<string, { readonly capacity: IResources, hosts: number }>()
+  private _removedHostCount = 0
 
   public constructor (private readonly _observer: IHostObserver) {}
 
@@ -79,8 +79,8 @@
   }
 
   /** The number of hosts removed so far. */
-  public get removals (): number {
-    return this._removals
+  public get removedHostCount (): number {
+    return this._removedHostCount
   }
 
   public get hostCount (): number {
@@ -118,7 +118,7 @@
     const lost = [...host.running.values()]
     for (const running of lost) this._remove(running)
     this._countCapacity(host.config, -1)
-    this._removals += 1
+    this._removedHostCount += 1
     this._hosts.delete(hostId)
     this._observer.hostRemoved(host)
     return lost
@@ -126,7 +126,7 @@
 
   /** Whether any accepting host could hold this if it were empty. */
   public isFeasible (need: IResources): boolean {
-    for (const shape of this._shapes.values()) {
+    for (const shape of this._capacityShapes.values()) {
       if (fits(need, shape.capacity)) return true
     }
     return false
@@ -146,7 +146,7 @@
     const running: IRunningItem = { item, host, startedAtMs: nowMs, counted, isStopping: false }
     this._running.set(item.id, running)
     host.running.set(item.id, running)
-    this._use(host, running.counted)
+    this._addUsage(host, running.counted)
     return running
   }
 
@@ -170,7 +170,7 @@
     subtractFrom(host.used, running.counted)
     subtractFrom(this.used, running.counted)
     running.counted = larger(running.item.resources, usage)
-    this._use(host, running.counted)
+    this._addUsage(host, running.counted)
     return running
   }
 
@@ -199,13 +199,13 @@
     if (sign === 1) addInto(this.capacity, capacity)
     else subtractFrom(this.capacity, capacity)
     const key = `${capacity.cores}/${capacity.memoryBytes}/${capacity.accelerators}`
-    const shape = this._shapes.get(key) ?? { capacity, hosts: 0 }
+    const shape = this._capacityShapes.get(key) ?? { capacity, hosts: 0 }
     shape.hosts += sign
-    if (shape.hosts > 0) this._shapes.set(key, shape)
-    else this._shapes.delete(key)
+    if (shape.hosts > 0) this._capacityShapes.set(key, shape)
+    else this._capacityShapes.delete(key)
   }
 
-  private _use (host: LedgerHost, counted: IResources): void {
+  private _addUsage (host: LedgerHost, counted: IResources): void {
     addInto(host.used, counted)
     addInto(this.used, counted)
     this._observer.hostChanged(host)
--- a/src/common/policy/DecisionEngine.test.ts
+++ b/src/common/policy/DecisionEngine.test.ts
@@ -12,16 +12,16 @@
   for (const item of items) engine.admit(item)
 }
 
-function named (count: number, prefix: string, changes: Partial<IWorkItem> = {}): readonly IWorkItem[] {
+function workItems (count: number, prefix: string, changes: Partial<IWorkItem> = {}): readonly IWorkItem[] {
   return Array.from({ length: count }, (_, i) => work(`${prefix}${i}`, changes))
 }
 
 test('requests go to the host with the fewest in flight, tasks to the tightest fit', (t) => {
   const slots = engineWith('slots', host('h1', cores(2)), host('h2', cores(4)))
-  admitAll(slots.engine, ...named(3, 's'))
+  admitAll(slots.engine, ...workItems(3, 's'))
   t.deepEqual(placed(slots.engine), { s0: 'h2', s1: 'h2', s2: 'h1' })
   const tasks = engineWith('resources', host('h1', cores(2)), host('h2', cores(4)))
-  admitAll(tasks.engine, ...named(3, 's'))
+  admitAll(tasks.engine, ...workItems(3, 's'))
   t.deepEqual(Object.values(placed(tasks.engine)).sort(), ['h1', 'h1', 'h2'])
 })
 
@@ -30,7 +30,7 @@
   const accelerated = { resources: { cores: 1, memoryBytes: 1, accelerators: 1 } }
   engine.admit(work('a0', accelerated))
   t.deepEqual(placed(engine), { a0: 'gpu' })
-  admitAll(engine, ...named(8, 'p'))
+  admitAll(engine, ...workItems(8, 'p'))
   t.deepEqual(placed(engine), { p0: 'plain', p1: 'plain', p2: 'gpu', p3: 'gpu', p4: 'gpu' }, 'the free accelerator reserves half of its host')
   engine.admit(work('a1', accelerated))
   t.deepEqual(placed(engine), { a1: 'gpu', p5: 'gpu', p6: 'gpu', p7: 'gpu' }, 'with all accelerators in use, their host is open to all work')
@@ -54,14 +54,14 @@
 test('a service to be spread runs in each failure domain', (t) => {
   const domains = ['a', 'b', 'c'].map((failureDomain) => host(failureDomain, cores(8), { failureDomain }))
   const { engine } = engineWith('resources', ...domains)
-  admitAll(engine, ...named(3, 's', { profile: profile({ spread: 'failureDomain' }) }))
+  admitAll(engine, ...workItems(3, 's', { profile: profile({ spread: 'failureDomain' }) }))
   t.deepEqual(Object.values(placed(engine)).sort(), ['a', 'b', 'c'])
 })
 
 test('the tasks of a job to be spread run in each failure domain', (t) => {
   const domains = ['a', 'b', 'c'].map((failureDomain) => host(failureDomain, cores(8), { failureDomain }))
   const { engine } = engineWith('resources', ...domains)
-  engine.admitGroup('job', named(3, 'j', { profile: profile({ spread: 'failureDomain' }) }))
+  engine.admitGroup('job', workItems(3, 'j', { profile: profile({ spread: 'failureDomain' }) }))
   t.deepEqual(Object.values(placed(engine)).sort(), ['a', 'b', 'c'])
 })
 
@@ -82,7 +82,7 @@
 test('team quotas and the running limit of a profile are enforced', (t) => {
   const { engine } = engineWith('resources', host('h1', cores(64)))
   engine.putTeam({ name: 'team', maxSlots: 100, maxCores: 3, maxAccelerators: 0 })
-  admitAll(engine, ...named(5, 'q'), ...named(5, 'l', { team: 'other', profile: profile({ name: 'limited', maxRunning: 2 }) }))
+  admitAll(engine, ...workItems(5, 'q'), ...workItems(5, 'l', { team: 'other', profile: profile({ name: 'limited', maxRunning: 2 }) }))
   const running = Object.keys(placed(engine))
   t.is(running.filter((id) => id.startsWith('q')).length, 3)
   t.is(running.filter((id) => id.startsWith('l')).length, 2)
@@ -92,7 +92,7 @@
 
 test('a host that is leaving keeps its running work and gets no new work', (t) => {
   const { engine } = engineWith('slots', host('h1', cores(2)))
-  admitAll(engine, ...named(3, 's'))
+  admitAll(engine, ...workItems(3, 's'))
   t.is(Object.keys(placed(engine)).length, 2)
   engine.putHost(host('h1', cores(2), { accepting: false }))
   engine.finished('s0', 'succeeded', 10)
@@ -109,7 +109,7 @@
   admitAll(engine, work('liar'))
   placed(engine)
   engine.reportUsage('liar', cores(6))
-  admitAll(engine, ...named(4, 's'))
+  admitAll(engine, ...workItems(4, 's'))
   t.is(Object.keys(placed(engine)).length, 2)
   engine.reportUsage('liar', cores(0.1))
   t.is(engine.load().used.cores, 3, 'a report below the declared size frees only the usage above it')
@@ -131,9 +131,9 @@
 test('urgent work preempts patient work down to its floor', (t) => {
   const { clock, engine } = engineWith('slots', host('h1', cores(4)))
   const patient = { ...PATIENT, floorShare: 0.5 }
-  admitAll(engine, ...named(4, 'p', { profile: patient, declaredRunMs: 600_000 }))
+  admitAll(engine, ...workItems(4, 'p', { profile: patient, declaredRunMs: 600_000 }))
   placed(engine)
-  admitAll(engine, ...named(4, 'u', { profile: URGENT, deadlineAtMs: 60_000 }))
+  admitAll(engine, ...workItems(4, 'u', { profile: URGENT, deadlineAtMs: 60_000 }))
   t.deepEqual(decisions(engine), [])
   clock.advance(engine.nextWakeAtMs())
   const stopped = decisions(engine).flatMap((decision) => decision.type === 'preempt' ? [decision.itemId] : [])
@@ -184,7 +184,7 @@
 
 test('work found at a takeover is counted even beyond the capacity', (t) => {
   const { engine } = engineWith('slots', host('h1', cores(1)))
-  for (const item of named(2, 's')) engine.adopt(item, 'h1')
+  for (const item of workItems(2, 's')) engine.adopt(item, 'h1')
   engine.admit(work('new'))
   engine.finished('s0', 'succeeded', 1)
   t.deepEqual(placed(engine), {})
@@ -211,7 +211,7 @@
   engine.adopt(work('r1', { resources: cores(8) }), 'h1')
   engine.adopt(work('r2', { resources: cores(8) }), 'h2')
   admitAll(engine, work('large', { resources: cores(6) }))
-  engine.admitGroup('job', named(2, 'job', { resources: cores(7) }))
+  engine.admitGroup('job', workItems(2, 'job', { resources: cores(7) }))
   t.deepEqual(placed(engine), {})
   engine.putHost(host('h1', cores(8), { accepting: false }))
   t.deepEqual(decisions(engine), [], 'a host that does not accept work now may accept it again at any time')
@@ -219,5 +219,5 @@
   t.deepEqual(decisions(engine).map((each) => each.type === 'giveUp' && [each.item.id, each.reason]), [['job0', 'infeasible'], ['job1', 'infeasible']])
   engine.removeHost('h2')
   t.deepEqual(decisions(engine).map((each) => each.type === 'giveUp' && [each.item.id, each.reason]), [['large', 'infeasible']])
-  t.like(engine.admitGroup('job', named(2, 'job', { resources: cores(2) })), { admitted: false, reason: 'infeasible' })
+  t.like(engine.admitGroup('job', workItems(2, 'job', { resources: cores(2) })), { admitted: false, reason: 'infeasible' })
 })
--- a/src/common/policy/DecisionEngine.ts
+++ b/src/common/policy/DecisionEngine.ts
@@ -48,43 +48,43 @@
   private readonly _feasibility = new Feasibility(this._ledger)
   private readonly _health = new HostHealth()
   private readonly _estimates = new WorkEstimates(this._ledger)
-  private readonly _book: GroupBook
-  private readonly _use: UseLedger
+  private readonly _groupStore: GroupBook
+  private readonly _usage: UseLedger
   private readonly _queue: FairQueue
   private readonly _admission: Admission
-  private readonly _work: RunningWork
-  private readonly _groups: GroupPlacer
+  private readonly _runningWork: RunningWork
+  private readonly _groupPlacer: GroupPlacer
   private readonly _loop: DecisionLoop
   private readonly _report: EngineReport
 
   public constructor (private readonly _clock: IClock, random: IRandom, options: IEngineOptions = { kind: 'resources' }) {
-    const preemption = new Preemption()
+    const victimSelector = new Preemption()
     this._accelerators = new AcceleratorReserve(_clock)
     this._index = new HostIndex(this._accelerators)
     const chooser = new HostChooser(options.kind, this._ledger, this._index, this._health)
-    this._book = new GroupBook(this._ledger, chooser)
-    this._use = new UseLedger(options.kind)
-    this._queue = new FairQueue(this._use, this._ledger.capacity, () => options.kind === 'slots' && this._isScarce())
+    this._groupStore = new GroupBook(this._ledger, chooser)
+    this._usage = new UseLedger(options.kind)
+    this._queue = new FairQueue(this._usage, this._ledger.capacity, () => options.kind === 'slots' && this._isScarce())
     this._admission = new Admission(_clock, random)
-    this._report = new EngineReport(this._ledger, this._index, this._use, this._queue, this._book, this._admission)
-    this._work = new RunningWork(_clock, this._ledger, this._use, this._queue, chooser, preemption)
-    const forecast = new RoomForecast(this._ledger, () => this._work.turnoverPerMs())
-    this._groups = new GroupPlacer(this._book, this._ledger, this._use, chooser, forecast)
+    this._report = new EngineReport(this._ledger, this._index, this._usage, this._queue, this._groupStore, this._admission)
+    this._runningWork = new RunningWork(_clock, this._ledger, this._usage, this._queue, chooser, victimSelector)
+    const forecast = new RoomForecast(this._ledger, () => this._runningWork.turnoverPerMs())
+    this._groupPlacer = new GroupPlacer(this._groupStore, this._ledger, this._usage, chooser, forecast)
     this._loop = new DecisionLoop({
       clock: _clock,
       ledger: this._ledger,
-      use: this._use,
+      usage: this._usage,
       queue: this._queue,
       admission: this._admission,
       estimates: this._estimates,
       chooser,
       health: this._health,
       accelerators: this._accelerators,
-      giveUps: new GiveUpFinder(this._queue, this._book, this._admission, this._ledger),
-      preemption,
-      work: this._work,
-      book: this._book,
-      groups: this._groups,
+      giveUpFinder: new GiveUpFinder(this._queue, this._groupStore, this._admission, this._ledger),
+      victimSelector,
+      runningWork: this._runningWork,
+      groupStore: this._groupStore,
+      groupPlacer: this._groupPlacer,
       priorRate: (queue) => this._report.priorRate(queue)
     })
   }
@@ -95,7 +95,7 @@
 
   public hostRemoved (host: LedgerHost): void {
     this._index.remove(host)
-    this._book.forgetHost(host)
+    this._groupStore.releaseHost(host)
   }
 
   public putHost (host: IEngineHost): void {
@@ -103,15 +103,15 @@
     const known = this._ledger.host(host.hostId)
     if (known !== undefined) this._index.remove(known)
     this._ledger.putHost(host)
-    if (known !== undefined && !host.accepting) this._book.forgetHost(known)
-    this._loop.noteRoom()
+    if (known !== undefined && !host.accepting) this._groupStore.releaseHost(known)
+    this._loop.onCapacityFreed()
   }
 
   public removeHost (hostId: string): readonly string[] {
-    const lost = this._work.removeHost(hostId)
+    const lost = this._runningWork.removeHost(hostId)
     this._health.removeHost(hostId)
-    for (const { item } of lost) this._loop.noteEnded(item.id)
-    this._loop.noteRoom()
+    for (const { item } of lost) this._loop.onItemEnded(item.id)
+    this._loop.onCapacityFreed()
     return lost.map((running) => running.item.id)
   }
 
@@ -119,28 +119,28 @@
     const host = this._ledger.host(hostId)
     if (host === undefined || this._ledger.runningItem(item.id) !== undefined) return
     const need = item.resources
-    this._work.start({ item, need, queue: this._queue.profileFor(item.profile), costMs: this._estimates.costMs(item, need) }, host)
+    this._runningWork.start({ item, need, queue: this._queue.profileFor(item.profile), costMs: this._estimates.costMs(item, need) }, host)
   }
 
   public admit (item: IWorkItem): AdmitDecision {
-    const impossible = this._whyImpossible([item])
+    const impossible = this._refuseImpossible([item])
     if (impossible !== undefined) return impossible
     const queue = this._queue.profileFor(item.profile)
-    const need = this._estimates.need(item)
+    const need = this._estimates.expectedUsage(item)
     const costMs = this._estimates.costMs(item, need)
     const latestStartAtMs = this._estimates.latestStartAtMs(item)
     const slackMs = latestStartAtMs - this._clock.nowMs()
     const totalQueued = this._report.queuedCount()
     const decision = this._admission.decide({ item, queue, costMs, slackMs, totalQueued, priorRate: this._report.priorRate(queue) })
     if (!decision.admitted) return decision
-    this._queue.add({ item, need, lane: laneOf(item, need, this._estimates.isLong(item)), costMs, latestStartAtMs })
-    this._admission.noteQueued(queue)
-    this._loop.noteWork()
+    this._queue.add({ item, need, lane: laneOf(item, need, this._estimates.isLongRunning(item)), costMs, latestStartAtMs })
+    this._admission.recordQueued(queue)
+    this._loop.onWorkAdded()
     return decision
   }
 
   public admitGroup (groupId: string, items: readonly IWorkItem[]): AdmitDecision {
-    const impossible = this._whyImpossible(items)
+    const impossible = this._refuseImpossible(items)
     if (impossible !== undefined) return impossible
     if (!this._feasibility.check().couldHoldAll(items.map((item) => item.resources))) {
       return this._admission.refuse('infeasible', 'the hosts could not hold all of its tasks at once')
@@ -149,18 +149,18 @@
     const tasks = this._tasksOf(items)
     this._loop.addGroup(groupId, tasks, expiresAtMs, true)
     const share = tasks.reduce((sum, { need }) => sum + this._ledger.shareOf(need), 0)
-    return { admitted: true, expectedWaitMs: share / this._work.turnoverPerMs() }
+    return { admitted: true, expectedWaitMs: share / this._runningWork.turnoverPerMs() }
   }
 
   public cancel (itemId: string): 'queued' | 'running' | 'absent' {
     if (this._ledger.runningItem(itemId) !== undefined) return 'running'
     const entry = this._queue.remove(itemId)
     if (entry !== undefined) {
-      this._admission.noteStarted(entry.queue, 0)
+      this._admission.recordDequeued(entry.queue, 0)
       return 'queued'
     }
-    if (!this._book.cancelItem(itemId)) return 'absent'
-    this._loop.noteRoom()
+    if (!this._groupStore.cancelItem(itemId)) return 'absent'
+    this._loop.onCapacityFreed()
     return 'queued'
   }
 
@@ -173,50 +173,50 @@
   }
 
   public finished (itemId: string, end: AttemptEnd, serviceMs: number): void {
-    const running = this._work.end(itemId, serviceMs)
+    const running = this._runningWork.end(itemId, serviceMs)
     if (running === undefined) return
     const { item, host } = running
-    if (end === 'succeeded') this._estimates.noteRun(item, serviceMs)
-    if (this._health.note(host.hostId, item, end, this._clock.nowMs())) {
+    if (end === 'succeeded') this._estimates.recordRun(item, serviceMs)
+    if (this._health.recordEnd(host.hostId, item, end, this._clock.nowMs())) {
       this.hostChanged(host)
-      this._book.forgetHost(host)
+      this._groupStore.releaseHost(host)
     }
-    this._loop.noteEnded(itemId)
+    this._loop.onItemEnded(itemId)
   }
 
   public reportUsage (itemId: string, usage: IResources): void {
-    const report = this._work.reportUsage(itemId, usage)
+    const report = this._runningWork.reportUsage(itemId, usage)
     if (report === undefined) return
-    this._estimates.noteUsage(report.item, usage)
-    if (report.hasFreedRoom) this._loop.noteRoom()
+    this._estimates.recordUsage(report.item, usage)
+    if (report.hasFreedCapacity) this._loop.onCapacityFreed()
   }
 
   public reserve (groupId: string, items: readonly IWorkItem[], expiresAtMs: MonotonicMs): readonly string[] {
     this.dropReservation(groupId)
-    if (this._whyImpossible(items) !== undefined) return []
+    if (this._refuseImpossible(items) !== undefined) return []
     this._loop.addGroup(groupId, this._tasksOf(items), expiresAtMs, false)
     this._loop.advanceGroups()
     return this.reservedIds(groupId)
   }
 
   public reservedIds (groupId: string): readonly string[] {
-    const group = this._book.group(groupId)
-    return group === undefined || group.expiresAtMs <= this._clock.nowMs() ? [] : this._book.readyIds(group)
+    const group = this._groupStore.group(groupId)
+    return group === undefined || group.expiresAtMs <= this._clock.nowMs() ? [] : this._groupStore.readyIds(group)
   }
 
   public startReserved (groupId: string): readonly { readonly item: IWorkItem, readonly hostId: string }[] | undefined {
-    const group = this._book.group(groupId)
-    if (group === undefined || group.expiresAtMs <= this._clock.nowMs() || !this._book.isReady(group)) return undefined
+    const group = this._groupStore.group(groupId)
+    if (group === undefined || group.expiresAtMs <= this._clock.nowMs() || !this._groupStore.isReady(group)) return undefined
     return this._loop.startGroup(group).map(({ item, host }) => ({ item, hostId: host.hostId }))
   }
 
   public dropReservation (groupId: string): void {
-    if (this._book.drop(groupId) !== undefined) this._loop.noteRoom()
+    if (this._groupStore.remove(groupId) !== undefined) this._loop.onCapacityFreed()
   }
 
   public putTeam (team: ITeamConfig): void {
-    this._use.putTeam(team)
-    this._loop.noteRoom()
+    this._usage.putTeam(team)
+    this._loop.onCapacityFreed()
   }
 
   public load (): IEngineLoad {
@@ -227,8 +227,8 @@
     return {
       ...this._report.dump(),
       onProbation: this._health.hostsOnProbation().slice(0, MAX_DUMPED),
-      groups: this._book.groupCount,
-      gathering: this._groups.gathering?.groupId,
+      groups: this._groupStore.groupCount,
+      gathering: this._groupPlacer.gathering?.groupId,
       servicesLearnt: this._estimates.serviceCount
     }
   }
@@ -238,26 +238,23 @@
     return capacity.cores - used.cores <= HEADROOM_SHARE * capacity.cores
   }
 
-  /**
-   * Whether the id is queued or running. An id admitted twice would be placed twice, and the end of one run would be
-   * taken for the end of both.
-   */
+  /** Whether the id is queued or running. An id admitted twice would be placed twice, and the end of one run would be taken for the end of both. */
   private _isKnown (itemId: string): boolean {
-    return this._queue.has(itemId) || this._book.has(itemId) || this._ledger.runningItem(itemId) !== undefined
+    return this._queue.has(itemId) || this._groupStore.has(itemId) || this._ledger.runningItem(itemId) !== undefined
   }
 
   private _tasksOf (items: readonly IWorkItem[]): IGroupTask[] {
-    return items.map((item) => ({ item, need: this._estimates.need(item) }))
+    return items.map((item) => ({ item, need: this._estimates.expectedUsage(item) }))
   }
 
-  private _whyImpossible (items: readonly IWorkItem[]): AdmitDecision | undefined {
-    if (items.some((item) => item.resources.accelerators > 0)) this._accelerators.noteArrival()
+  private _refuseImpossible (items: readonly IWorkItem[]): AdmitDecision | undefined {
+    if (items.some((item) => item.resources.accelerators > 0)) this._accelerators.recordArrival()
     if (this._ledger.hostCount === 0) return this._admission.refuse('noUpstream', 'no host is known')
     const known = items.find((item) => this._isKnown(item.id))
     if (known !== undefined) return this._admission.refuse('duplicate', `${known.id} is queued or runs already`)
     const tooLarge = items.find((item) => !this._ledger.isFeasible(item.resources))
     if (tooLarge !== undefined) return this._admission.refuse('infeasible', `no accepting host is large enough for ${tooLarge.id}`)
-    if (!this._use.couldEverRun(items)) return this._admission.refuse('quota', 'larger than the quota of its team')
+    if (!this._usage.couldEverFitQuota(items)) return this._admission.refuse('quota', 'larger than the quota of its team')
     return undefined
   }
 }
--- a/src/common/policy/EngineDifferential.test.ts
+++ b/src/common/policy/EngineDifferential.test.ts
@@ -27,7 +27,7 @@
 type Command = typeof command extends fc.Arbitrary<infer T> ? T : never
 
 /** Drives an engine and tracks which items wait, and what runs where and at which size. */
-class Account {
+class EngineDriver {
   public readonly waiting = new Set<string>()
   public readonly running = new Map<string, { readonly hostId: string, size: number, readonly declared: number }>()
   private readonly _sizes = new Map<string, number>()
@@ -44,19 +44,19 @@
     else if (step.type === 'cancel') this._cancel(pickFrom([...this.waiting], step.index))
     else if (step.type === 'report') this._report(pickFrom([...this.running.keys()], step.index), step.size)
     else if (step.type === 'accepting') this._setAccepting(HOSTS[step.host] ?? '', step.accepting)
-    else if (step.type === 'lose') this._lose(HOSTS[step.host] ?? '')
+    else if (step.type === 'lose') this._removeHost(HOSTS[step.host] ?? '')
     else this._clock.advance(step.ms)
-    this._carryOut()
+    this._applyDecisions()
   }
 
   /** Ends all running work until nothing waits any more. */
   public drain (): void {
     for (const hostId of HOSTS) this._setAccepting(hostId, true)
-    this._carryOut()
+    this._applyDecisions()
     for (let round = 0; round < 1_000 && (this.waiting.size > 0 || this.running.size > 0); round++) {
       for (const id of [...this.running.keys()]) this._finish(id)
       this._clock.advance(2_500)
-      this._carryOut()
+      this._applyDecisions()
     }
   }
 
@@ -112,14 +112,14 @@
     this._engine.putHost(host(hostId, cores(HOST_CORES), { accepting }))
   }
 
-  private _lose (hostId: string): void {
+  private _removeHost (hostId: string): void {
     const lost = [...this.running].filter(([, place]) => place.hostId === hostId).map(([id]) => id)
     if ([...this._engine.removeHost(hostId)].sort().join() !== lost.sort().join()) throw new Error('removeHost returned the wrong items')
     for (const id of lost) this.running.delete(id)
     this._setAccepting(hostId, true)
   }
 
-  private _carryOut (): void {
+  private _applyDecisions (): void {
     for (const decision of decisions(this._engine)) {
       if (decision.type !== 'place') throw new Error(`unexpected ${decision.type}`)
       const { item, hostId } = decision
@@ -141,15 +141,15 @@
   return all.length === 0 ? undefined : all[index % all.length]
 }
 
-function accountsFor (kind: CapacityKind): { readonly ours: Account, readonly naive: Account } {
+function driversFor (kind: CapacityKind): { readonly ours: EngineDriver, readonly naive: EngineDriver } {
   const clocks = [new ManualClock(), new ManualClock()] as const
-  const ours = new Account(new DecisionEngine(clocks[0], new SeededRandom(1), { kind }), clocks[0])
-  return { ours, naive: new Account(new NaiveEngine(clocks[1]), clocks[1]) }
+  const ours = new EngineDriver(new DecisionEngine(clocks[0], new SeededRandom(1), { kind }), clocks[0])
+  return { ours, naive: new EngineDriver(new NaiveEngine(clocks[1]), clocks[1]) }
 }
 
 test('long command sequences never exceed the capacity of a host, lose an item or run one twice', (t) => {
   fc.assert(fc.property(fc.array(command, { minLength: 50, maxLength: 500 }), (commands) => {
-    const { ours } = accountsFor('resources')
+    const { ours } = driversFor('resources')
     for (const [i, step] of commands.entries()) ours.apply(step, i)
     ours.drain()
     return ours.waiting.size === 0 && ours.running.size === 0
@@ -159,7 +159,7 @@
 
 test('with equal sizes, as many items run at each step as in the naive engine', (t) => {
   fc.assert(fc.property(fc.array(command, { minLength: 50, maxLength: 500 }), (commands) => {
-    const { ours, naive } = accountsFor('slots')
+    const { ours, naive } = driversFor('slots')
     for (const [i, command] of commands.entries()) {
       if (command.type === 'report' || command.type === 'lose' || command.type === 'accepting' || command.type === 'group') continue
       const step = command.type === 'admit' ? { ...command, size: 1 } : command
--- a/src/common/policy/EngineReport.ts
+++ b/src/common/policy/EngineReport.ts
@@ -20,14 +20,14 @@
   public constructor (
     private readonly _ledger: CapacityLedger,
     private readonly _index: HostIndex,
-    private readonly _use: UseLedger,
+    private readonly _usage: UseLedger,
     private readonly _queue: FairQueue,
-    private readonly _book: GroupBook,
+    private readonly _groupStore: GroupBook,
     private readonly _admission: Admission
   ) {}
 
   public queuedCount (): number {
-    return this._queue.size + this._book.itemCount
+    return this._queue.size + this._groupStore.itemCount
   }
 
   public load (): IEngineLoad {
@@ -50,16 +50,13 @@
     }
   }
 
-  /**
-   * The share of the capacity that the profile could have: what the profiles that go before it leave unused, and at
-   * least its floor.
-   */
+  /** The share of the capacity that the profile could have: what the profiles that go before it leave unused, and at least its floor. */
   public priorRate (queue: ProfileQueue): number {
     const rank = classRank(queue.profile.priorityClass)
     let others = 0
     for (const other of this._queue.profiles()) {
       if (other === queue || classRank(other.profile.priorityClass) > rank) continue
-      others += this._use.profileShare(other.profile.name, this._ledger.capacity)
+      others += this._usage.profileShare(other.profile.name, this._ledger.capacity)
     }
     return Math.max(1 - others, this._queue.floorShare(queue))
   }
@@ -70,8 +67,8 @@
       profile: name,
       queued: queue.queuedCount,
       callers: queue.activeCallers,
-      running: this._use.profileCount(name),
-      share: this._use.profileShare(name, this._ledger.capacity),
+      running: this._usage.profileCount(name),
+      share: this._usage.profileShare(name, this._ledger.capacity),
       expectedWaitMs: this._admission.expectedWaitMs(queue, this.priorRate(queue))
     }
   }
--- a/src/common/policy/FairQueue.test.ts
+++ b/src/common/policy/FairQueue.test.ts
@@ -15,7 +15,7 @@
   return { queue: new FairQueue(use, CAPACITY, () => false), use }
 }
 
-interface IAdd {
+interface IAddOptions {
   readonly id: string
   readonly caller?: string
   readonly profile?: IProfile
@@ -23,12 +23,12 @@
   readonly deadlineAtMs?: number
 }
 
-function add (queue: FairQueue, { id, caller = 'caller', profile: of = profile(), costMs = 1, deadlineAtMs = Infinity }: IAdd): IQueueEntry {
+function add (queue: FairQueue, { id, caller = 'caller', profile: of = profile(), costMs = 1, deadlineAtMs = Infinity }: IAddOptions): IQueueEntry {
   const item = work(id, { caller, profile: of, deadlineAtMs })
   return queue.add({ item, need: item.resources, lane: { shape: 'one', team: 'team' }, costMs, latestStartAtMs: deadlineAtMs })
 }
 
-function take (queue: FairQueue, use?: UseLedger): IQueueEntry | undefined {
+function startNext (queue: FairQueue, use?: UseLedger): IQueueEntry | undefined {
   const entry = queue.peek(() => false)
   if (entry === undefined) return undefined
   queue.remove(entry.item.id)
@@ -43,16 +43,16 @@
     add(queue, { id: `small-${i}`, caller: 'small', costMs: 1 })
     add(queue, { id: `large-${i}`, caller: 'large', costMs: 5 })
   }
-  const callers = Array.from({ length: 36 }, () => take(queue)?.item.caller)
+  const callers = Array.from({ length: 36 }, () => startNext(queue)?.item.caller)
   t.is(callers.filter((caller) => caller === 'small').length, 30)
 })
 
 test('a caller that declares too little is charged the actual cost once it is known', (t) => {
   const { queue } = queueWith()
   for (let i = 0; i < 4; i++) for (const caller of ['honest', 'liar']) add(queue, { id: `${caller}-${i}`, caller })
-  const first = [take(queue), take(queue)]
+  const first = [startNext(queue), startNext(queue)]
   for (const entry of first) if (entry !== undefined) queue.settle(entry.queue, entry.item.caller, 1, entry.item.caller === 'liar' ? 10 : 1)
-  t.deepEqual(Array.from({ length: 3 }, () => take(queue)?.item.caller), ['honest', 'honest', 'honest'])
+  t.deepEqual(Array.from({ length: 3 }, () => startNext(queue)?.item.caller), ['honest', 'honest', 'honest'])
 })
 
 test('urgent work goes first, by deadline, except that profiles below their floor go before it', (t) => {
@@ -63,7 +63,7 @@
     add(queue, { id: `urgent-${i}`, profile: urgent, deadlineAtMs: 1_000 - i })
     add(queue, { id: `patient-${i}`, profile: patient })
   }
-  const order = Array.from({ length: 12 }, () => take(queue, use)?.item.id ?? '')
+  const order = Array.from({ length: 12 }, () => startNext(queue, use)?.item.id ?? '')
   t.is(order.filter((id) => id.startsWith('patient')).length, 6, 'up to just above five of a hundred cores')
   t.deepEqual(order.filter((id) => id.startsWith('urgent')), ['urgent-19', 'urgent-18', 'urgent-17', 'urgent-16', 'urgent-15', 'urgent-14'])
 })
@@ -76,7 +76,7 @@
   const { queue } = queueWith()
   for (let i = 0; i < 20_000; i++) {
     add(queue, { id: `r${i}`, caller: `caller-${i}` })
-    const entry = take(queue)
+    const entry = startNext(queue)
     if (entry !== undefined) queue.settle(entry.queue, entry.item.caller, 1, 1)
   }
   t.true((queue.profile('normal')?.knownCallers ?? Infinity) <= 2_000)
@@ -86,10 +86,10 @@
 class NaiveFairQueue {
   private readonly _entries: { readonly id: string, readonly caller: string, readonly sequence: number }[] = []
   private readonly _served = new Map<string, number>()
-  private _virtual = 0
+  private _virtualCost = 0
 
   public add (id: string, caller: string, sequence: number): void {
-    if (!this._entries.some((entry) => entry.caller === caller)) this._served.set(caller, Math.max(this._servedOf(caller), this._virtual))
+    if (!this._entries.some((entry) => entry.caller === caller)) this._served.set(caller, Math.max(this._servedOf(caller), this._virtualCost))
     this._entries.push({ id, caller, sequence })
   }
 
@@ -98,7 +98,7 @@
     if (index >= 0) this._entries.splice(index, 1)
   }
 
-  public least (): number {
+  public leastServed (): number {
     return Math.min(...this._entries.map(({ caller }) => this._servedOf(caller)))
   }
 
@@ -106,17 +106,17 @@
     return this._servedOf(caller)
   }
 
-  public firstOf (caller: string): string | undefined {
+  public firstIdOf (caller: string): string | undefined {
     return this._entries.find((entry) => entry.caller === caller)?.id
   }
 
   public charge (caller: string, cost: number): void {
-    this._virtual = Math.max(this._virtual, this._servedOf(caller))
+    this._virtualCost = Math.max(this._virtualCost, this._servedOf(caller))
     this._served.set(caller, this._servedOf(caller) + cost)
   }
 
   private _servedOf (caller: string): number {
-    return this._served.get(caller) ?? this._virtual
+    return this._served.get(caller) ?? this._virtualCost
   }
 }
 
@@ -142,14 +142,14 @@
         queue.remove(id)
         naive.remove(id)
       } else {
-        const least = naive.least()
-        const entry = take(queue)
+        const least = naive.leastServed()
+        const entry = startNext(queue)
         if (entry === undefined) {
           if (waiting.length > 0) return false
           continue
         }
         const { id, caller } = entry.item
-        if (naive.servedOf(caller) !== least || naive.firstOf(caller) !== id) return false
+        if (naive.servedOf(caller) !== least || naive.firstIdOf(caller) !== id) return false
         naive.charge(caller, entry.costMs)
         naive.remove(id)
         waiting.splice(waiting.indexOf(id), 1)
--- a/src/common/policy/FairQueue.ts
+++ b/src/common/policy/FairQueue.ts
@@ -15,10 +15,10 @@
 const BTree = BTreeModule.default
 
 /** The floor of a waiting profile that has no larger one: enough to make progress, too little for others to notice. */
-const LEAST_FLOOR_SHARE = 0.02
+const MIN_FLOOR_SHARE = 0.02
 
 /** Floors are scaled down when their sum is larger than this, so that work without a floor always finds some capacity. */
-const MAX_FLOORS_SHARE = 0.9
+const MAX_FLOOR_SUM = 0.9
 
 const CLASS_RANK: Readonly<Record<PriorityClass, number>> = { urgent: 0, normal: 1, patient: 2 }
 
@@ -34,7 +34,7 @@
 
   /** @param _isScarce whether so little capacity is free that callers above their share have to leave it to the others */
   public constructor (
-    private readonly _use: UseLedger,
+    private readonly _usage: UseLedger,
     private readonly _capacity: IResources,
     private readonly _isScarce: () => boolean
   ) {}
@@ -79,7 +79,7 @@
   }
 
   /** Removes and returns one entry that can't end in time any more. */
-  public takeExpired (nowMs: MonotonicMs): IQueueEntry | undefined {
+  public removeExpired (nowMs: MonotonicMs): IQueueEntry | undefined {
     const first = this._byLatestStart.minKey()
     if (first === undefined || first.latestStartAtMs > nowMs) return undefined
     return this.remove(first.item.id)
@@ -103,12 +103,12 @@
   /** Whether the profile runs less than its floor guarantees, or nothing. */
   public isBelowFloor (queue: ProfileQueue): boolean {
     const { name } = queue.profile
-    if (this._use.profileCount(name) === 0) return true
-    return this._use.profileShare(name, this._capacity) <= this.floorShare(queue)
+    if (this._usage.profileCount(name) === 0) return true
+    return this._usage.profileShare(name, this._capacity) <= this.floorShare(queue)
   }
 
   public floorShare (queue: ProfileQueue): number {
-    return Math.max(queue.profile.floorShare * this._floorScale(), LEAST_FLOOR_SHARE)
+    return Math.max(queue.profile.floorShare * this._floorScale(), MIN_FLOOR_SHARE)
   }
 
   /** Charges the profile and the caller for an item that starts. */
@@ -147,8 +147,8 @@
     let best: IQueueEntry | undefined
     let bestFilled = Infinity
     for (const queue of this._profiles.values()) {
-      if (!this._mayStart(queue) || !this.isBelowFloor(queue)) continue
-      const filled = this._use.profileShare(queue.profile.name, this._capacity) / this.floorShare(queue)
+      if (!this._canStart(queue) || !this.isBelowFloor(queue)) continue
+      const filled = this._usage.profileShare(queue.profile.name, this._capacity) / this.floorShare(queue)
       const entry = filled < bestFilled ? queue.peek(isBlocked, false) : undefined
       if (entry === undefined) continue
       best = entry
@@ -161,14 +161,14 @@
     const isScarce = this._isScarce()
     let best: IQueueEntry | undefined
     for (const queue of this._profiles.values()) {
-      if (!this._mayStart(queue) || (best !== undefined && !goesBefore(queue, best.queue))) continue
+      if (!this._canStart(queue) || (best !== undefined && !goesBefore(queue, best.queue))) continue
       best = queue.peek(isBlocked, isScarce) ?? best
     }
     return best
   }
 
-  private _mayStart (queue: ProfileQueue): boolean {
-    return queue.queuedCount > 0 && this._use.isProfileOpen(queue.profile)
+  private _canStart (queue: ProfileQueue): boolean {
+    return queue.queuedCount > 0 && this._usage.isWithinMaxRunning(queue.profile)
   }
 
   private _floorScale (): number {
@@ -176,7 +176,7 @@
     for (const queue of this._profiles.values()) {
       if (queue.queuedCount > 0) sum += queue.profile.floorShare
     }
-    return sum > MAX_FLOORS_SHARE ? MAX_FLOORS_SHARE / sum : 1
+    return sum > MAX_FLOOR_SUM ? MAX_FLOOR_SUM / sum : 1
   }
 }
 
--- a/src/common/policy/Feasibility.ts
+++ b/src/common/policy/Feasibility.ts
@@ -31,17 +31,14 @@
 }
 
 export class Feasibility {
-  private _seenRemovals = 0
+  private _seenRemovedHostCount = 0
 
   public constructor (private readonly _ledger: CapacityLedger) {}
 
-  /**
-   * Whether hosts were removed since the last call. Hosts that only don't accept work are not counted, since they may
-   * accept again at any time.
-   */
-  public takeRemoved (): boolean {
-    const removed = this._ledger.removals !== this._seenRemovals
-    this._seenRemovals = this._ledger.removals
+  /** Whether hosts were removed since the last call. Hosts that only don't accept work are not counted, since they may accept again at any time. */
+  public detectRemovedHosts (): boolean {
+    const removed = this._ledger.removedHostCount !== this._seenRemovedHostCount
+    this._seenRemovedHostCount = this._ledger.removedHostCount
     return removed
   }
 
--- a/src/common/policy/GiveUpFinder.ts
+++ b/src/common/policy/GiveUpFinder.ts
@@ -16,7 +16,7 @@
   readonly items: readonly IWorkItem[]
   readonly reason: OutcomeReason
   /** Whether capacity that was held for the items has come free. */
-  readonly freesRoom: boolean
+  readonly hasFreedCapacity: boolean
 }
 
 export class GiveUpFinder {
@@ -24,7 +24,7 @@
 
   public constructor (
     private readonly _queue: FairQueue,
-    private readonly _book: GroupBook,
+    private readonly _groupStore: GroupBook,
     private readonly _admission: Admission,
     private readonly _ledger: CapacityLedger
   ) {
@@ -32,36 +32,36 @@
   }
 
   /** Removes and returns the next work to give up; undefined when there is none now. */
-  public take (nowMs: MonotonicMs): IGivenUp | undefined {
-    return this._takeImpossible() ?? this._takeExpired(nowMs)
+  public removeNext (nowMs: MonotonicMs): IGivenUp | undefined {
+    return this._removeInfeasible() ?? this._removeExpired(nowMs)
   }
 
-  private _takeExpired (nowMs: MonotonicMs): IGivenUp | undefined {
-    const entry = this._queue.takeExpired(nowMs)
+  private _removeExpired (nowMs: MonotonicMs): IGivenUp | undefined {
+    const entry = this._queue.removeExpired(nowMs)
     if (entry !== undefined) {
-      this._admission.noteStarted(entry.queue, 0)
-      return { items: [entry.item], reason: 'deadline', freesRoom: false }
+      this._admission.recordDequeued(entry.queue, 0)
+      return { items: [entry.item], reason: 'deadline', hasFreedCapacity: false }
     }
-    const group = this._book.takeExpired(nowMs)
-    return group === undefined ? undefined : { items: itemsOf(group), reason: 'deadline', freesRoom: true }
+    const group = this._groupStore.removeExpired(nowMs)
+    return group === undefined ? undefined : { items: itemsOf(group), reason: 'deadline', hasFreedCapacity: true }
   }
 
   /** Scans the whole queue, but only after hosts were removed. */
-  private _takeImpossible (): IGivenUp | undefined {
-    if (!this._feasibility.takeRemoved() || this._queue.size + this._book.groupCount === 0) return undefined
+  private _removeInfeasible (): IGivenUp | undefined {
+    if (!this._feasibility.detectRemovedHosts() || this._queue.size + this._groupStore.groupCount === 0) return undefined
     const { couldHold, couldHoldAll } = this._feasibility.check()
     const entries = [...this._queue.entries()].filter(({ item }) => !couldHold(item.resources))
-    const groups = [...this._book.groups()].filter(({ tasks }) => !couldHoldAll(tasks.map(({ item }) => item.resources)))
+    const groups = [...this._groupStore.groups()].filter(({ tasks }) => !couldHoldAll(tasks.map(({ item }) => item.resources)))
     if (entries.length + groups.length === 0) return undefined
     for (const entry of entries) this._remove(entry)
-    for (const { groupId } of groups) this._book.drop(groupId)
+    for (const { groupId } of groups) this._groupStore.remove(groupId)
     const reason = this._ledger.hostCount > 0 ? 'infeasible' : 'noUpstream'
-    return { items: [...groups.flatMap(itemsOf), ...entries.map(({ item }) => item)], reason, freesRoom: groups.length > 0 }
+    return { items: [...groups.flatMap(itemsOf), ...entries.map(({ item }) => item)], reason, hasFreedCapacity: groups.length > 0 }
   }
 
   private _remove (entry: IQueueEntry): void {
     this._queue.remove(entry.item.id)
-    this._admission.noteStarted(entry.queue, 0)
+    this._admission.recordDequeued(entry.queue, 0)
   }
 }
 
--- a/src/common/policy/GroupBook.ts
+++ b/src/common/policy/GroupBook.ts
@@ -40,14 +40,14 @@
 
 export class GroupBook {
   private readonly _groups = new Map<string, IGroup>()
-  private readonly _groupOf = new Map<string, IGroup>()
-  private readonly _holding = new Set<IGroup>()
+  private readonly _groupByItemId = new Map<string, IGroup>()
+  private readonly _groupsWithHolds = new Set<IGroup>()
   private _earliestExpiryMs: MonotonicMs = Infinity
 
   public constructor (private readonly _ledger: CapacityLedger, private readonly _observer: IHoldObserver) {}
 
   public get itemCount (): number {
-    return this._groupOf.size
+    return this._groupByItemId.size
   }
 
   public get groupCount (): number {
@@ -63,8 +63,8 @@
   }
 
   /** The groups that have at least one hold. */
-  public holding (): IterableIterator<IGroup> {
-    return this._holding.values()
+  public groupsWithHolds (): IterableIterator<IGroup> {
+    return this._groupsWithHolds.values()
   }
 
   public group (groupId: string): IGroup | undefined {
@@ -74,38 +74,38 @@
   public add (group: IGroup): void {
     group.tasks.sort((a, b) => this._ledger.shareOf(b.need) - this._ledger.shareOf(a.need))
     this._groups.set(group.groupId, group)
-    for (const { item } of group.tasks) this._groupOf.set(item.id, group)
+    for (const { item } of group.tasks) this._groupByItemId.set(item.id, group)
     this._earliestExpiryMs = Math.min(this._earliestExpiryMs, group.expiresAtMs)
   }
 
   /** Removes the group and releases its holds. */
-  public drop (groupId: string): IGroup | undefined {
+  public remove (groupId: string): IGroup | undefined {
     const group = this._groups.get(groupId)
     if (group === undefined) return undefined
-    this.giveBack(group)
+    this.releaseHolds(group)
     this._groups.delete(groupId)
-    for (const { item } of group.tasks) this._groupOf.delete(item.id)
+    for (const { item } of group.tasks) this._groupByItemId.delete(item.id)
     return group
   }
 
   public has (itemId: string): boolean {
-    return this._groupOf.has(itemId)
+    return this._groupByItemId.has(itemId)
   }
 
   /** Removes one item; the rest of its group still starts together. */
   public cancelItem (itemId: string): boolean {
-    const group = this._groupOf.get(itemId)
+    const group = this._groupByItemId.get(itemId)
     if (group === undefined) return false
-    this._groupOf.delete(itemId)
+    this._groupByItemId.delete(itemId)
     this._release(group, itemId)
     group.tasks.splice(group.tasks.findIndex(({ item }) => item.id === itemId), 1)
-    if (group.tasks.length === 0) this.drop(group.groupId)
+    if (group.tasks.length === 0) this.remove(group.groupId)
     return true
   }
 
   /** Releases all holds on a host that was removed or accepts no new work; their groups look for capacity elsewhere. */
-  public forgetHost (host: LedgerHost): void {
-    for (const group of this._holding) {
+  public releaseHost (host: LedgerHost): void {
+    for (const group of this._groupsWithHolds) {
       for (const hold of group.holds.values()) {
         if (hold.host === host) this._release(group, hold.item.id)
       }
@@ -113,7 +113,7 @@
   }
 
   /** Removes and returns a group that has expired. */
-  public takeExpired (nowMs: MonotonicMs): IGroup | undefined {
+  public removeExpired (nowMs: MonotonicMs): IGroup | undefined {
     if (nowMs < this._earliestExpiryMs) return undefined
     this._earliestExpiryMs = Infinity
     let expired: IGroup | undefined
@@ -121,24 +121,24 @@
       if (group.expiresAtMs <= nowMs) expired ??= group
       if (group !== expired) this._earliestExpiryMs = Math.min(this._earliestExpiryMs, group.expiresAtMs)
     }
-    return expired === undefined ? undefined : this.drop(expired.groupId)
+    return expired === undefined ? undefined : this.remove(expired.groupId)
   }
 
   public hold (group: IGroup, task: IGroupTask, host: LedgerHost): void {
     group.holds.set(task.item.id, { ...task, host })
-    this._holding.add(group)
+    this._groupsWithHolds.add(group)
     this._ledger.hold(host, task.need)
     this._observer.holdChanged(task.item, host, 1)
   }
 
   /** Moves a hold to another host. */
-  public move (group: IGroup, hold: IHold, host: LedgerHost): void {
+  public moveHold (group: IGroup, hold: IHold, host: LedgerHost): void {
     const { item, need } = hold
     this._release(group, item.id)
     this.hold(group, { item, need }, host)
   }
 
-  public giveBack (group: IGroup): void {
+  public releaseHolds (group: IGroup): void {
     for (const itemId of [...group.holds.keys()]) this._release(group, itemId)
     group.gatheringSinceMs = undefined
     group.startsAtMs = 0
@@ -167,7 +167,7 @@
     const hold = group.holds.get(itemId)
     if (hold === undefined) return
     group.holds.delete(itemId)
-    if (group.holds.size === 0) this._holding.delete(group)
+    if (group.holds.size === 0) this._groupsWithHolds.delete(group)
     this._ledger.releaseHold(hold.host, hold.need)
     this._observer.holdChanged(hold.item, hold.host, -1)
   }
--- a/src/common/policy/HostChooser.ts
+++ b/src/common/policy/HostChooser.ts
@@ -15,12 +15,12 @@
 import type { CapacityKind } from './UseLedger.js'
 
 /** The most hosts checked one by one when the index finds none to drain. */
-const MAX_DRAIN_LOOKS = 1_000
+const MAX_HOSTS_SCANNED = 1_000
 
 export class HostChooser implements IHoldObserver {
   private readonly _order: GridOrder
   /** The number of running items by service and failure domain, for services to be spread. */
-  private readonly _spread = new Map<string, Map<string, number>>()
+  private readonly _spreadCounts = new Map<string, Map<string, number>>()
 
   public constructor (
     kind: CapacityKind,
@@ -45,7 +45,7 @@
 
   /** Returns a host on probation for which the item may serve as the probe that is due. */
   public chooseProbe (item: IWorkItem, need: IResources, nowMs: MonotonicMs): LedgerHost | undefined {
-    const hostId = this._health.hostToProbe(item, nowMs)
+    const hostId = this._health.findHostToProbe(item, nowMs)
     const host = hostId === undefined ? undefined : this._ledger.host(hostId)
     if (host === undefined || !host.config.accepting || item.avoidHostIds?.includes(host.hostId) === true) return undefined
     return fits(need, host.free()) ? host : undefined
@@ -60,22 +60,22 @@
   public chooseToDrain (item: IWorkItem, need: IResources, isAllowed: HostFilter): LedgerHost | undefined {
     const found = this._index.findToDrain(item, need, isAllowed)
     if (found !== undefined) return found
-    let looks = 0
+    let scanned = 0
     for (const host of this._ledger.hosts()) {
-      looks += 1
-      if (looks > MAX_DRAIN_LOOKS) return undefined
+      scanned += 1
+      if (scanned > MAX_HOSTS_SCANNED) return undefined
       const couldHold = fits(need, difference(host.config.capacity, host.held))
       if (couldHold && isAllowed(host) && host.config.accepting && !this._health.isOnProbation(host.hostId)) return host
     }
     return undefined
   }
 
-  public noteStarted (item: IWorkItem, host: LedgerHost, nowMs: MonotonicMs): void {
+  public recordStart (item: IWorkItem, host: LedgerHost, nowMs: MonotonicMs): void {
     if (this._health.isOnProbation(host.hostId)) this._health.startProbe(host.hostId, item.id, nowMs)
     this._countSpread(item, host, 1)
   }
 
-  public noteEnded (item: IWorkItem, host: LedgerHost): void {
+  public recordEnd (item: IWorkItem, host: LedgerHost): void {
     this._countSpread(item, host, -1)
   }
 
@@ -84,7 +84,7 @@
    * service tend to share one domain, whose loss would stop the service.
    */
   private _chooseSpread (item: IWorkItem, need: IResources): LedgerHost | undefined {
-    const counts = this._spread.get(item.service)
+    const counts = this._spreadCounts.get(item.service)
     const domains = [...this._index.domainKeys()]
     domains.sort((a, b) => (counts?.get(a) ?? 0) - (counts?.get(b) ?? 0))
     for (const domain of domains) {
@@ -108,21 +108,18 @@
     return this._index.find(rest, need, this._order)
   }
 
-  /**
-   * Counts held capacity as running for the spread, because the tasks of a job are all placed before the first one
-   * runs.
-   */
+  /** Counts held capacity as running for the spread, because the tasks of a job are all placed before the first one runs. */
   public holdChanged (item: IWorkItem, host: LedgerHost, sign: 1 | -1): void {
     this._countSpread(item, host, sign)
   }
 
   private _countSpread (item: IWorkItem, host: LedgerHost, sign: 1 | -1): void {
     if (item.profile.spread !== 'failureDomain') return
-    const counts = this._spread.get(item.service) ?? new Map<string, number>()
+    const counts = this._spreadCounts.get(item.service) ?? new Map<string, number>()
     const left = (counts.get(host.domainKey) ?? 0) + sign
     if (left > 0) counts.set(host.domainKey, left)
     else counts.delete(host.domainKey)
-    if (counts.size > 0) this._spread.set(item.service, counts)
-    else this._spread.delete(item.service)
+    if (counts.size > 0) this._spreadCounts.set(item.service, counts)
+    else this._spreadCounts.delete(item.service)
   }
 }
--- a/src/common/policy/HostGrid.test.ts
+++ b/src/common/policy/HostGrid.test.ts
@@ -10,9 +10,9 @@
 
 const GIB = 2 ** 30
 
-function gridOf (frees: readonly IResources[]): HostGrid {
+function gridOf (freeCapacities: readonly IResources[]): HostGrid {
   const grid = new HostGrid()
-  for (const [i, free] of frees.entries()) grid.set(new LedgerHost(host(`h${i}`, { cores: 64, memoryBytes: 128 * GIB, accelerators: 0 })), free)
+  for (const [i, free] of freeCapacities.entries()) grid.set(new LedgerHost(host(`h${i}`, { cores: 64, memoryBytes: 128 * GIB, accelerators: 0 })), free)
   return grid
 }
 
@@ -24,10 +24,10 @@
 
 test('a host that is deleted or not allowed is not found', (t) => {
   const grid = new HostGrid()
-  const one = new LedgerHost(host('one'))
-  grid.set(one, cores(4))
+  const ledgerHost = new LedgerHost(host('one'))
+  grid.set(ledgerHost, cores(4))
   t.is(grid.find(cores(1), 'tightest', () => false), undefined)
-  grid.delete(one)
+  grid.delete(ledgerHost)
   t.is(grid.find(cores(1), 'tightest', () => true), undefined)
 })
 
@@ -40,19 +40,19 @@
 test('a host is found exactly when a scan finds one, also after hosts have changed cells', (t) => {
   fc.assert(fc.property(fc.array(amount, { minLength: 1, maxLength: 30 }), fc.array(amount, { maxLength: 30 }), amount, (before, after, need) => {
     const grid = new HostGrid()
-    const frees = new Map(before.map((free, i) => [new LedgerHost(host(`h${i}`)), free]))
-    for (const [one, free] of frees) grid.set(one, free)
-    for (const [i, one] of [...frees.keys()].entries()) {
+    const freeCapacities = new Map(before.map((free, i) => [new LedgerHost(host(`h${i}`)), free]))
+    for (const [ledgerHost, free] of freeCapacities) grid.set(ledgerHost, free)
+    for (const [i, ledgerHost] of [...freeCapacities.keys()].entries()) {
       const moved = after[i]
       if (moved === undefined) continue
-      frees.set(one, moved)
-      grid.set(one, moved)
+      freeCapacities.set(ledgerHost, moved)
+      grid.set(ledgerHost, moved)
     }
-    const exists = [...frees.values()].some((free) => fits(need, free))
+    const exists = [...freeCapacities.values()].some((free) => fits(need, free))
     for (const order of ['tightest', 'freest'] as const) {
       const found = grid.find(need, order, () => true)
       if ((found !== undefined) !== exists) return false
-      if (found !== undefined && !fits(need, frees.get(found) ?? cores(-1))) return false
+      if (found !== undefined && !fits(need, freeCapacities.get(found) ?? cores(-1))) return false
     }
     return true
   }), { seed: 1, numRuns: 500 })
--- a/src/common/policy/HostGrid.ts
+++ b/src/common/policy/HostGrid.ts
@@ -23,12 +23,9 @@
  * of the scan rotates, so that a missed host is found soon after. Without the limit, one decision over a cell with
  * thousands of nearly full hosts would take milliseconds.
  */
-const MAX_LOOKED_AT = 32
+const MAX_HOSTS_CHECKED = 32
 
-/**
- * A tie-break, worth less than one slot: of hosts with equally many free slots, the one with the fewest requests in
- * flight is preferred.
- */
+/** A tie-break, worth less than one slot: of hosts with equally many free slots, the one with the fewest requests in flight is preferred. */
 const IN_FLIGHT_WEIGHT = 1e-6
 
 /** Which of the hosts with enough free capacity to prefer. */
@@ -78,20 +75,20 @@
     const cell = coreLevel(free.cores) * LEVELS + memoryLevel(free.memoryBytes)
     const entry = this._entries.get(host)
     if (entry === undefined) {
-      this._insert({ host, free, cell, position: 0 })
+      this._insertIntoCell({ host, free, cell, position: 0 })
       return
     }
     entry.free = free
     if (entry.cell === cell) return
-    this._unlink(entry)
+    this._removeFromCell(entry)
     entry.cell = cell
-    this._insert(entry)
+    this._insertIntoCell(entry)
   }
 
   public delete (host: LedgerHost): void {
     const entry = this._entries.get(host)
     if (entry === undefined) return
-    this._unlink(entry)
+    this._removeFromCell(entry)
     this._entries.delete(host)
   }
 
@@ -108,8 +105,8 @@
     if (order === 'freest') return this._findFreest(need, row, column, isAllowed)
     const isCoreBound = row - coreLevel(1) >= column - memoryLevel(2 ** 31)
     return isCoreBound
-      ? this._findTightest(need, row, column, isAllowed)
-      : this._findByMemory(need, row, column, isAllowed)
+      ? this._findTightestByCores(need, row, column, isAllowed)
+      : this._findTightestByMemory(need, row, column, isAllowed)
   }
 
   /** The free capacity of one of the hosts with the most free cores. */
@@ -121,22 +118,22 @@
     return undefined
   }
 
-  private _findTightest (need: IResources, row: number, column: number, isAllowed: HostFilter): LedgerHost | undefined {
+  private _findTightestByCores (need: IResources, row: number, column: number, isAllowed: HostFilter): LedgerHost | undefined {
     for (let r = row; r < LEVELS; r++) {
       const mask = (this._rowMasks[r] ?? 0) >>> column
       for (let rest = mask, c = column; rest !== 0; rest >>>= 1, c++) {
-        const host = (rest & 1) === 0 ? undefined : this._pick(r * LEVELS + c, need, 'tightest', isAllowed)
+        const host = (rest & 1) === 0 ? undefined : this._findInCell(r * LEVELS + c, need, 'tightest', isAllowed)
         if (host !== undefined) return host
       }
     }
     return undefined
   }
 
-  private _findByMemory (need: IResources, row: number, column: number, isAllowed: HostFilter): LedgerHost | undefined {
+  private _findTightestByMemory (need: IResources, row: number, column: number, isAllowed: HostFilter): LedgerHost | undefined {
     for (let c = column; c < LEVELS; c++) {
       const mask = (this._columnMasks[c] ?? 0) >>> row
       for (let rest = mask, r = row; rest !== 0; rest >>>= 1, r++) {
-        const host = (rest & 1) === 0 ? undefined : this._pick(r * LEVELS + c, need, 'tightest', isAllowed)
+        const host = (rest & 1) === 0 ? undefined : this._findInCell(r * LEVELS + c, need, 'tightest', isAllowed)
         if (host !== undefined) return host
       }
     }
@@ -148,16 +145,16 @@
       const mask = this._rowMasks[r] ?? 0
       if (mask === 0) continue
       for (let c = LEVELS - 1; c >= column; c--) {
-        const host = (mask >>> c & 1) === 0 ? undefined : this._pick(r * LEVELS + c, need, 'freest', isAllowed)
+        const host = (mask >>> c & 1) === 0 ? undefined : this._findInCell(r * LEVELS + c, need, 'freest', isAllowed)
         if (host !== undefined) return host
       }
     }
     return undefined
   }
 
-  private _pick (cell: number, need: IResources, order: GridOrder, isAllowed: HostFilter): LedgerHost | undefined {
+  private _findInCell (cell: number, need: IResources, order: GridOrder, isAllowed: HostFilter): LedgerHost | undefined {
     const entries = this._cells[cell] ?? []
-    const count = Math.min(entries.length, MAX_LOOKED_AT)
+    const count = Math.min(entries.length, MAX_HOSTS_CHECKED)
     let best: LedgerHost | undefined
     let bestScore = Infinity
     for (let i = 0; i < count; i++) {
@@ -174,16 +171,16 @@
     return best
   }
 
-  private _insert (entry: IGridEntry): void {
+  private _insertIntoCell (entry: IGridEntry): void {
     const entries = this._cells[entry.cell]
     if (entries === undefined) return
     entry.position = entries.length
     entries.push(entry)
     this._entries.set(entry.host, entry)
-    this._setBits(entry.cell, true)
+    this._setMaskBits(entry.cell, true)
   }
 
-  private _unlink (entry: IGridEntry): void {
+  private _removeFromCell (entry: IGridEntry): void {
     const entries = this._cells[entry.cell]
     const last = entries?.pop()
     if (entries === undefined || last === undefined) return
@@ -191,10 +188,10 @@
       entries[entry.position] = last
       last.position = entry.position
     }
-    if (entries.length === 0) this._setBits(entry.cell, false)
+    if (entries.length === 0) this._setMaskBits(entry.cell, false)
   }
 
-  private _setBits (cell: number, on: boolean): void {
+  private _setMaskBits (cell: number, on: boolean): void {
     const row = Math.floor(cell / LEVELS)
     const column = cell % LEVELS
     const rowMask = this._rowMasks[row] ?? 0
--- a/src/common/policy/HostHealth.ts
+++ b/src/common/policy/HostHealth.ts
@@ -8,16 +8,10 @@
 import type { MonotonicMs } from '../Types.js'
 import type { AttemptEnd, IWorkItem } from './Types.js'
 
-/**
- * The least number of failures for probation. At a usual failure rate of 1%, five failures in a row happen once in
- * 10^10.
- */
+/** The least number of failures for probation. At a usual failure rate of 1%, five failures in a row happen once in 10^10. */
 const MIN_FAILURES = 5
 
-/**
- * A host on probation must have at least this many times the failures expected from its services' failure rates on all
- * hosts.
- */
+/** A host is put on probation only with at least this many times the failures expected from its services' failure rates on all hosts. */
 const FAILURES_OVER_EXPECTED = 3
 
 /** A host with a failure rate below this stays in use, whatever the rate of its peers. */
@@ -42,16 +36,13 @@
 /** The largest share of hosts on probation: when more hosts fail, the fault is probably not theirs. */
 const MAX_PROBATION_SHARE = 0.34
 
-/**
- * Successful attempts that each service is credited with at first, so that its first failures aren't taken for its
- * usual rate.
- */
+/** Successful attempts that each service is credited with at first, so that its first failures aren't taken for its usual rate. */
 const SERVICE_PRIOR_ATTEMPTS = 20
 
 /** The most services remembered; the least recently used one is removed first. */
 const MAX_SERVICES = 10_000
 
-interface IRecord {
+interface IHostRecord {
   failures: number
   expectedFailures: number
   attempts: number
@@ -72,7 +63,7 @@
 }
 
 export class HostHealth {
-  private readonly _hosts = new Map<string, IRecord>()
+  private readonly _hosts = new Map<string, IHostRecord>()
   private readonly _services = new LRUCache<string, IServiceRate>({ max: MAX_SERVICES })
   private readonly _onProbation = new Set<string>()
 
@@ -105,26 +96,26 @@
    * and can fail most of the load. The host's failures are compared with those of the same services on all hosts, so
    * that a service that fails everywhere puts no host on probation.
    */
-  public note (hostId: string, item: IWorkItem, end: AttemptEnd, nowMs: MonotonicMs): boolean {
+  public recordEnd (hostId: string, item: IWorkItem, end: AttemptEnd, nowMs: MonotonicMs): boolean {
     const record = this._hosts.get(hostId)
     if (record === undefined || end === 'stopped') return false
     const hasFailed = end !== 'succeeded'
-    if (record.probation !== undefined) return this._noteProbe(hostId, record, record.probation, item.id, hasFailed, nowMs)
+    if (record.probation !== undefined) return this._recordProbeEnd(hostId, record, record.probation, item.id, hasFailed, nowMs)
     const rate = this._serviceRate(item.service)
     decay(record, nowMs)
     record.attempts += 1
     record.expectedFailures += rate.failures / (rate.attempts + SERVICE_PRIOR_ATTEMPTS)
     if (hasFailed) record.failures += 1
     countAttempt(rate, hasFailed)
-    return hasFailed && this._judge(hostId, record, nowMs)
+    return hasFailed && this._startProbationIfFailing(hostId, record, nowMs)
   }
 
   /** Returns a host on probation for which a probe is due that this item can serve as. */
-  public hostToProbe (item: IWorkItem, nowMs: MonotonicMs): string | undefined {
+  public findHostToProbe (item: IWorkItem, nowMs: MonotonicMs): string | undefined {
     if (this._onProbation.size === 0) return undefined
     for (const hostId of this._onProbation) {
       const probation = this._hosts.get(hostId)?.probation
-      if (probation !== undefined && isDue(probation, item, nowMs)) return hostId
+      if (probation !== undefined && canProbeWith(probation, item, nowMs)) return hostId
     }
     return undefined
   }
@@ -145,7 +136,7 @@
     return nextAtMs
   }
 
-  private _judge (hostId: string, record: IRecord, nowMs: MonotonicMs): boolean {
+  private _startProbationIfFailing (hostId: string, record: IHostRecord, nowMs: MonotonicMs): boolean {
     const { failures, expectedFailures, attempts } = record
     if (failures < MIN_FAILURES || failures < MIN_FAILURE_RATE * attempts) return false
     if (failures < FAILURES_OVER_EXPECTED * expectedFailures) return false
@@ -157,11 +148,10 @@
     return true
   }
 
-  /**
-   * Records the end of a probe. Work that started before the probation is ignored, because it says nothing about the
-   * present state.
-   */
-  private _noteProbe (hostId: string, record: IRecord, probation: IProbation, itemId: string, hasFailed: boolean, nowMs: MonotonicMs): boolean {
+  /** Records the end of a probe. Work that started before the probation is ignored, because it says nothing about the present state. */
+  private _recordProbeEnd (
+    hostId: string, record: IHostRecord, probation: IProbation, itemId: string, hasFailed: boolean, nowMs: MonotonicMs
+  ): boolean {
     if (probation.probeItemId !== itemId) return false
     probation.probeItemId = undefined
     if (hasFailed) {
@@ -187,11 +177,8 @@
   }
 }
 
-/**
- * Whether a probe is due and the item may serve as one. A probe may fail, so only work that can be retried elsewhere is
- * used.
- */
-function isDue (probation: IProbation, item: IWorkItem, nowMs: MonotonicMs): boolean {
+/** Whether a probe is due and the item may serve as one. A probe may fail, so only work that can be retried elsewhere is used. */
+function canProbeWith (probation: IProbation, item: IWorkItem, nowMs: MonotonicMs): boolean {
   return nowMs >= probation.nextProbeAtMs && item.idempotent && item.profile.maxRetries > 0
 }
 
@@ -205,7 +192,7 @@
   if (hasFailed) rate.failures += 1
 }
 
-function decay (record: IRecord, nowMs: MonotonicMs): void {
+function decay (record: IHostRecord, nowMs: MonotonicMs): void {
   const factor = 2 ** ((record.countedAtMs - nowMs) / HALF_LIFE_MS)
   record.failures *= factor
   record.expectedFailures *= factor
--- a/src/common/policy/HostIndex.ts
+++ b/src/common/policy/HostIndex.ts
@@ -32,7 +32,7 @@
   public find (need: IResources, order: GridOrder, isAllowed: HostFilter): LedgerHost | undefined {
     if (need.accelerators > 0) return this.accelerated.find(need, order, isAllowed)
     const host = this.plain.find(need, order, isAllowed)
-    if (host !== undefined || this._reserve.isKept) return host
+    if (host !== undefined || this._reserve.isActive) return host
     return this.accelerated.find(need, order, isAllowed)
   }
 }
@@ -70,7 +70,7 @@
     }
     const free = host.free()
     this._all.set(host, free)
-    this._domain(host.domainKey).set(host, free)
+    this._domainGrids(host.domainKey).set(host, free)
     if (host.hasHolds) this._held.set(host, host.unused())
     else this._held.delete(host)
   }
@@ -87,11 +87,11 @@
 
   /** Returns a host with enough free capacity for `need`, which may be more than the item declares. */
   public find (item: IWorkItem, need: IResources, order: GridOrder): LedgerHost | undefined {
-    return this._all.find(need, order, allowedFor(item))
+    return this._all.find(need, order, notAvoidedBy(item))
   }
 
   public findInDomain (domainKey: string, item: IWorkItem, need: IResources, order: GridOrder): LedgerHost | undefined {
-    return this._byDomain.get(domainKey)?.find(need, order, allowedFor(item))
+    return this._byDomain.get(domainKey)?.find(need, order, notAvoidedBy(item))
   }
 
   /** The free capacity of one of the emptiest hosts. */
@@ -101,22 +101,19 @@
 
   /** Returns a host with held capacity that is not used yet. */
   public findHeld (item: IWorkItem, need: IResources, isAllowed: HostFilter): LedgerHost | undefined {
-    const allowed = allowedFor(item)
+    const allowed = notAvoidedBy(item)
     return this._held.find(need, 'tightest', (host) => isAllowed(host) && allowed(host))
   }
 
-  /**
-   * Returns one of the emptiest hosts that could hold `need`, in addition to its existing holds, once its running work
-   * has ended.
-   */
+  /** Returns one of the emptiest hosts that could hold `need`, in addition to its existing holds, once its running work has ended. */
   public findToDrain (item: IWorkItem, need: IResources, isAllowed: HostFilter): LedgerHost | undefined {
-    const avoids = allowedFor(item)
-    const allowed: HostFilter = (host) => isAllowed(host) && avoids(host)
+    const isNotAvoided = notAvoidedBy(item)
+    const allowed: HostFilter = (host) => isAllowed(host) && isNotAvoided(host)
     const grid = need.accelerators > 0 ? this._all.accelerated : this._all.plain
     return grid.find(NO_RESOURCES, 'freest', (host) => allowed(host) && fits(need, difference(host.config.capacity, host.held)))
   }
 
-  private _domain (domainKey: string): GridPair {
+  private _domainGrids (domainKey: string): GridPair {
     const known = this._byDomain.get(domainKey)
     if (known !== undefined) return known
     const created = new GridPair(this._reserve)
@@ -125,7 +122,7 @@
   }
 }
 
-function allowedFor (item: IWorkItem): HostFilter {
+function notAvoidedBy (item: IWorkItem): HostFilter {
   const avoided = item.avoidHostIds
   if (avoided === undefined || avoided.length === 0) return () => true
   return (host) => !avoided.includes(host.hostId)
--- a/src/common/policy/Learners.test.ts
+++ b/src/common/policy/Learners.test.ts
@@ -7,28 +7,28 @@
 import { UrgentReserve } from './UrgentReserve.js'
 
 test('run times are taken as declared until enough runs were seen', (t) => {
-  const learner = new RunTimeLearner()
+  const estimator = new RunTimeLearner()
   const item = work('a', { declaredRunMs: 10_000 })
-  t.is(learner.meanMs(item), 10_000)
-  for (let i = 0; i < 100; i++) learner.note('service', i < 95 ? 100 : 2_000)
-  t.is(Math.round(learner.meanMs(item)), 195)
-  t.true(learner.quantileMs(item, 0.5) >= 100 && learner.quantileMs(item, 0.5) < 142)
-  t.true(learner.quantileMs(item, 0.99) >= 2_000 && learner.quantileMs(item, 0.99) < 2_829)
+  t.is(estimator.meanMs(item), 10_000)
+  for (let i = 0; i < 100; i++) estimator.record('service', i < 95 ? 100 : 2_000)
+  t.is(Math.round(estimator.meanMs(item)), 195)
+  t.true(estimator.quantileMs(item, 0.5) >= 100 && estimator.quantileMs(item, 0.5) < 142)
+  t.true(estimator.quantileMs(item, 0.99) >= 2_000 && estimator.quantileMs(item, 0.99) < 2_829)
 })
 
 test('run times follow a change of the service', (t) => {
-  const learner = new RunTimeLearner()
-  for (let i = 0; i < 5_000; i++) learner.note('service', 100)
-  for (let i = 0; i < 5_000; i++) learner.note('service', 1_000)
-  t.true(learner.meanMs(work('a')) > 950)
+  const estimator = new RunTimeLearner()
+  for (let i = 0; i < 5_000; i++) estimator.record('service', 100)
+  for (let i = 0; i < 5_000; i++) estimator.record('service', 1_000)
+  t.true(estimator.meanMs(work('a')) > 950)
 })
 
 test('sizes are scaled by the factor by which a service exceeds its declared size', (t) => {
-  const learner = new SizeLearner()
-  for (let i = 0; i < 50; i++) learner.note(work('a'), cores(4))
-  t.is(Math.round(learner.expected(work('b', { resources: cores(2) })).cores), 8)
-  for (let i = 0; i < 50; i++) learner.note(work('a', { service: 'modest' }), cores(0.1))
-  t.is(learner.expected(work('b', { service: 'modest' })).cores, 1)
+  const estimator = new SizeLearner()
+  for (let i = 0; i < 50; i++) estimator.record(work('a'), cores(4))
+  t.is(Math.round(estimator.expectedUsage(work('b', { resources: cores(2) })).cores), 8)
+  for (let i = 0; i < 50; i++) estimator.record(work('a', { service: 'modest' }), cores(0.1))
+  t.is(estimator.expectedUsage(work('b', { service: 'modest' })).cores, 1)
 })
 
 /*
--- a/src/common/policy/NaiveEngine.ts
+++ b/src/common/policy/NaiveEngine.ts
@@ -19,7 +19,7 @@
   readonly used: IMutableResources
 }
 
-interface INaivePlace {
+interface INaivePlacement {
   readonly item: IWorkItem
   readonly hostId: string
   counted: IResources
@@ -33,11 +33,11 @@
 
 export class NaiveEngine implements IDecisionEngine {
   protected readonly _hosts = new Map<string, INaiveHost>()
-  private readonly _running = new Map<string, INaivePlace>()
-  private readonly _held = new Map<string, INaivePlace>()
+  private readonly _running = new Map<string, INaivePlacement>()
+  private readonly _held = new Map<string, INaivePlacement>()
   private readonly _groups = new Map<string, INaiveGroup>()
   private readonly _ready: EngineDecision[] = []
-  private readonly _waiting = new NaiveLines()
+  private readonly _queue = new NaiveLines()
 
   public constructor (protected readonly _clock: IClock) {}
 
@@ -58,7 +58,7 @@
   }
 
   public adopt (item: IWorkItem, hostId: string): void {
-    this._count(this._running, item, hostId)
+    this._place(this._running, item, hostId)
   }
 
   public admit (item: IWorkItem): AdmitDecision {
@@ -71,7 +71,7 @@
 
   public cancel (itemId: string): 'queued' | 'running' | 'absent' {
     if (this._running.has(itemId)) return 'running'
-    return this._waiting.cancel(itemId) ? 'queued' : 'absent'
+    return this._queue.cancel(itemId) ? 'queued' : 'absent'
   }
 
   public next (): EngineDecision | undefined {
@@ -82,7 +82,7 @@
   }
 
   public nextWakeAtMs (): MonotonicMs {
-    let wakeAtMs = this._waiting.earliestDeadlineAtMs()
+    let wakeAtMs = this._queue.earliestDeadlineAtMs()
     for (const group of this._groups.values()) wakeAtMs = Math.min(wakeAtMs, group.expiresAtMs)
     return wakeAtMs
   }
@@ -118,7 +118,7 @@
     if (group === undefined || this.reservedIds(groupId).length < group.items.length) return undefined
     const places = group.items.map((item) => ({ item, hostId: this._held.get(item.id)?.hostId ?? '' }))
     this.dropReservation(groupId)
-    for (const place of places) this._count(this._running, place.item, place.hostId)
+    for (const place of places) this._place(this._running, place.item, place.hostId)
     return places
   }
 
@@ -141,7 +141,7 @@
       if (free.cores > largestFree.cores) largestFree = free
     }
     const expectedWaitMs = { urgent: 0, normal: 0, patient: 0 }
-    return { queued: this._waiting.itemCount, running: this._running.size, capacity, used, largestFree, expectedWaitMs }
+    return { queued: this._queue.itemCount, running: this._running.size, capacity, used, largestFree, expectedWaitMs }
   }
 
   public dump (): Readonly<Record<string, unknown>> {
@@ -165,10 +165,7 @@
     return host.config.accepting && fits(item.resources, difference(host.config.capacity, host.used))
   }
 
-  /**
-   * If every accepting host that could ever hold the item is to be avoided, returns one of them with enough free
-   * capacity.
-   */
+  /** If every accepting host that could ever hold the item is to be avoided, returns one of them with enough free capacity. */
   private _chooseAvoided (item: IWorkItem): INaiveHost | undefined {
     const accepting = [...this._hosts.values()].filter((host) => host.config.accepting && fits(item.resources, host.config.capacity))
     const hasOther = accepting.some((host) => item.avoidHostIds?.includes(host.config.hostId) !== true)
@@ -183,7 +180,7 @@
     }
     const [first] = items
     if (first === undefined) return { admitted: true, expectedWaitMs: 0 }
-    this._waiting.add(this._rankOf(first), items)
+    this._queue.add(this._rankOf(first), items)
     return { admitted: true, expectedWaitMs: 0 }
   }
 
@@ -199,7 +196,7 @@
     for (const group of [...this._groups.values()]) {
       if (group.expiresAtMs <= nowMs) this.dropReservation(group.groupId)
     }
-    for (let late = this._waiting.takeLate(nowMs); late.length > 0; late = this._waiting.takeLate(nowMs)) {
+    for (let late = this._queue.removeExpired(nowMs); late.length > 0; late = this._queue.removeExpired(nowMs)) {
       for (const item of late) this._ready.push({ type: 'giveUp', item, reason: 'deadline', retryAfterMs: RETRY_AFTER_MS })
     }
   }
@@ -208,20 +205,20 @@
     for (const group of this._groups.values()) {
       for (const item of group.items) {
         const host = this._held.has(item.id) ? undefined : this._chooseHost(item)
-        if (host !== undefined) this._count(this._held, item, host.config.hostId)
+        if (host !== undefined) this._place(this._held, item, host.config.hostId)
       }
     }
   }
 
   private _placeHead (): void {
-    const items = this._waiting.first()
+    const items = this._queue.first()
     if (items.length === 0 || !this._placeAll(items)) return
     const nowMs = this._clock.nowMs()
     for (const item of items) {
       const hostId = this._running.get(item.id)?.hostId ?? ''
       this._ready.push({ type: 'place', item, hostId, waitMs: nowMs - item.arrivedAtMs })
     }
-    this._waiting.removeFirst()
+    this._queue.removeFirst()
   }
 
   private _placeAll (items: readonly IWorkItem[]): boolean {
@@ -232,19 +229,19 @@
         for (const id of placed) this._release(this._running, id)
         return false
       }
-      this._count(this._running, item, host.config.hostId)
+      this._place(this._running, item, host.config.hostId)
       placed.push(item.id)
     }
     return true
   }
 
-  private _count (places: Map<string, INaivePlace>, item: IWorkItem, hostId: string): void {
+  private _place (places: Map<string, INaivePlacement>, item: IWorkItem, hostId: string): void {
     places.set(item.id, { item, hostId, counted: item.resources })
     const host = this._hosts.get(hostId)
     if (host !== undefined) addInto(host.used, item.resources)
   }
 
-  private _release (places: Map<string, INaivePlace>, itemId: string): void {
+  private _release (places: Map<string, INaivePlacement>, itemId: string): void {
     const place = places.get(itemId)
     const host = place === undefined ? undefined : this._hosts.get(place.hostId)
     places.delete(itemId)
--- a/src/common/policy/NaiveLines.ts
+++ b/src/common/policy/NaiveLines.ts
@@ -14,38 +14,38 @@
 }
 
 /** Entries in order of arrival; those before `head` have been removed. */
-interface INaiveLine {
+interface IRankQueue {
   entries: INaiveEntry[]
   head: number
 }
 
 /** Removed entries are cut off in batches of this size, since the cost of a cut grows with the length of the queue. */
-const CUT_AFTER_ENTRIES = 10_000
+const TRIM_AFTER_ENTRIES = 10_000
 
 export class NaiveLines {
-  private readonly _lines: (INaiveLine | undefined)[] = []
-  private readonly _entryOf = new Map<string, INaiveEntry>()
+  private readonly _queues: (IRankQueue | undefined)[] = []
+  private readonly _entryByItemId = new Map<string, INaiveEntry>()
   private readonly _byDeadline = new Heap<INaiveEntry>((a, b) => a.deadlineAtMs - b.deadlineAtMs)
 
   public get itemCount (): number {
-    return this._entryOf.size
+    return this._entryByItemId.size
   }
 
   public add (rank: number, items: readonly IWorkItem[]): void {
     const deadlineAtMs = items.reduce((earliest, item) => Math.min(earliest, item.deadlineAtMs), Infinity)
     const entry: INaiveEntry = { items, deadlineAtMs }
-    const line = this._lines[rank] ?? { entries: [], head: 0 }
-    this._lines[rank] = line
-    line.entries.push(entry)
-    for (const item of items) this._entryOf.set(item.id, entry)
+    const queue = this._queues[rank] ?? { entries: [], head: 0 }
+    this._queues[rank] = queue
+    queue.entries.push(entry)
+    for (const item of items) this._entryByItemId.set(item.id, entry)
     if (deadlineAtMs < Infinity) this._byDeadline.push(entry)
   }
 
   public cancel (itemId: string): boolean {
-    const entry = this._entryOf.get(itemId)
+    const entry = this._entryByItemId.get(itemId)
     if (entry === undefined) return false
     entry.items = entry.items.filter((item) => item.id !== itemId)
-    return this._entryOf.delete(itemId)
+    return this._entryByItemId.delete(itemId)
   }
 
   /** The items of the first entry; none when nothing waits. */
@@ -55,16 +55,16 @@
 
   public removeFirst (): void {
     const entry = this._firstEntry()
-    if (entry !== undefined) this._leave(entry)
+    if (entry !== undefined) this._removeEntry(entry)
   }
 
   /** Removes and returns the items of one entry whose deadline has passed. */
-  public takeLate (nowMs: MonotonicMs): readonly IWorkItem[] {
+  public removeExpired (nowMs: MonotonicMs): readonly IWorkItem[] {
     if (this.earliestDeadlineAtMs() > nowMs) return []
     const late = this._byDeadline.pop()
     if (late === undefined) return []
     const { items } = late
-    this._leave(late)
+    this._removeEntry(late)
     return items
   }
 
@@ -74,24 +74,24 @@
   }
 
   private _firstEntry (): INaiveEntry | undefined {
-    for (const line of this._lines) {
-      const first = line === undefined ? undefined : firstOf(line)
+    for (const queue of this._queues) {
+      const first = queue === undefined ? undefined : firstEntryOf(queue)
       if (first !== undefined) return first
     }
     return undefined
   }
 
-  private _leave (entry: INaiveEntry): void {
-    for (const item of entry.items) this._entryOf.delete(item.id)
+  private _removeEntry (entry: INaiveEntry): void {
+    for (const item of entry.items) this._entryByItemId.delete(item.id)
     entry.items = []
   }
 }
 
-function firstOf (line: INaiveLine): INaiveEntry | undefined {
-  while (line.entries[line.head]?.items.length === 0) line.head += 1
-  if (line.head > CUT_AFTER_ENTRIES) {
-    line.entries = line.entries.slice(line.head)
-    line.head = 0
+function firstEntryOf (queue: IRankQueue): INaiveEntry | undefined {
+  while (queue.entries[queue.head]?.items.length === 0) queue.head += 1
+  if (queue.head > TRIM_AFTER_ENTRIES) {
+    queue.entries = queue.entries.slice(queue.head)
+    queue.head = 0
   }
-  return line.entries[line.head]
+  return queue.entries[queue.head]
 }
--- a/src/common/policy/Preemption.ts
+++ b/src/common/policy/Preemption.ts
@@ -24,14 +24,14 @@
 export class Preemption {
   private readonly _preemptible = new Map<LedgerHost, Set<IRunningItem>>()
 
-  public noteStarted (running: IRunningItem): void {
+  public recordStart (running: IRunningItem): void {
     if (!running.item.profile.preemptible) return
     const items = this._preemptible.get(running.host) ?? new Set<IRunningItem>()
     items.add(running)
     this._preemptible.set(running.host, items)
   }
 
-  public noteEnded (running: IRunningItem): void {
+  public recordEnd (running: IRunningItem): void {
     const items = this._preemptible.get(running.host)
     items?.delete(running)
     if (items?.size === 0) this._preemptible.delete(running.host)
@@ -63,7 +63,7 @@
 }
 
 function victimsOn (host: LedgerHost, items: ReadonlySet<IRunningItem>, need: IResources, keepsFloor: FloorTest): readonly IRunningItem[] {
-  const room = { ...host.free() }
+  const available = { ...host.free() }
   const lost = zeroResources()
   const victims: IRunningItem[] = []
   for (const running of [...items].reverse()) {
@@ -72,8 +72,8 @@
     addInto(lost, running.counted)
     if (!keepsFloor(running.item.profile, lost)) return []
     victims.push(running)
-    addInto(room, running.counted)
-    if (fits(need, room)) return victims
+    addInto(available, running.counted)
+    if (fits(need, available)) return victims
   }
   return []
 }
--- a/src/common/policy/QueueTypes.ts
+++ b/src/common/policy/QueueTypes.ts
@@ -15,7 +15,7 @@
   /** The expected usage: as declared, or more where the service was seen to use more. */
   readonly need: IResources
   readonly queue: ProfileQueue
-  readonly line: ICallerLine
+  readonly callerQueue: ICallerQueue
   /** The sort key among the caller's own items: the deadline of urgent items, the arrival time of others. */
   readonly orderMs: MonotonicMs
   readonly sequence: number
@@ -26,18 +26,18 @@
 }
 
 /** The state of one caller in one profile. */
-export interface ICallerShare {
+export interface ICallerState {
   readonly caller: string
   /** The cost charged so far, on the profile's virtual time: the caller with the lowest value is served next. */
   virtualMs: number
   queuedCount: number
   queuedCostMs: number
   runningCount: number
-  readonly lines: Set<ICallerLine>
+  readonly queues: Set<ICallerQueue>
 }
 
-export interface ICallerLine {
-  readonly share: ICallerShare
+export interface ICallerQueue {
+  readonly owner: ICallerState
   readonly lane: ILane
   readonly id: number
   readonly entries: SortedSet<IQueueEntry>
@@ -53,8 +53,8 @@
 
 export interface ILane extends ILaneKey {
   readonly key: string
-  readonly lines: SortedSet<ICallerLine>
-  readonly lineOf: Map<string, ICallerLine>
+  readonly callerQueues: SortedSet<ICallerQueue>
+  readonly queueByCaller: Map<string, ICallerQueue>
 }
 
 export type LaneFilter = (lane: ILaneKey) => boolean
--- a/src/common/policy/ReturnBook.ts
+++ b/src/common/policy/ReturnBook.ts
@@ -8,14 +8,14 @@
 const MAX_PROMISES = 50_000
 
 /** A promise expires when the work is this late: its caller has given up or gone elsewhere. */
-const HELD_FOR_MS = 2_000
+const EXPIRES_AFTER_MS = 2_000
 
 interface IPromise {
   readonly key: string
   readonly caller: string
   readonly costMs: number
   readonly dueAtMs: MonotonicMs
-  readonly lapsesAtMs: MonotonicMs
+  readonly expiresAtMs: MonotonicMs
 }
 
 export class ReturnBook {
@@ -32,36 +32,36 @@
   }
 
   public add (key: string, caller: string, costMs: number, dueAtMs: MonotonicMs): void {
-    this.take(key, dueAtMs)
+    this.redeem(key, dueAtMs)
     if (this._promises.size >= MAX_PROMISES) return
-    this._promises.set(key, { key, caller, costMs, dueAtMs, lapsesAtMs: dueAtMs + HELD_FOR_MS })
-    this._count(caller, costMs)
+    this._promises.set(key, { key, caller, costMs, dueAtMs, expiresAtMs: dueAtMs + EXPIRES_AFTER_MS })
+    this._addCost(caller, costMs)
   }
 
   /** Redeems and removes a promise; false when there is none, it isn't due or it has expired. */
-  public take (key: string, nowMs: MonotonicMs): boolean {
+  public redeem (key: string, nowMs: MonotonicMs): boolean {
     const promise = this._promises.get(key)
     if (promise === undefined) return false
-    this._drop(promise)
-    return nowMs >= promise.dueAtMs && nowMs < promise.lapsesAtMs
+    this._remove(promise)
+    return nowMs >= promise.dueAtMs && nowMs < promise.expiresAtMs
   }
 
   /** Removes expired promises. Checks a few at a time, in order of creation, which is nearly the order of expiry. */
-  public expire (nowMs: MonotonicMs): void {
-    let looks = 0
+  public removeExpired (nowMs: MonotonicMs): void {
+    let checked = 0
     for (const promise of this._promises.values()) {
-      if (looks >= 8) return
-      looks += 1
-      if (promise.lapsesAtMs <= nowMs) this._drop(promise)
+      if (checked >= 8) return
+      checked += 1
+      if (promise.expiresAtMs <= nowMs) this._remove(promise)
     }
   }
 
-  private _drop (promise: IPromise): void {
+  private _remove (promise: IPromise): void {
     this._promises.delete(promise.key)
-    this._count(promise.caller, -promise.costMs)
+    this._addCost(promise.caller, -promise.costMs)
   }
 
-  private _count (caller: string, costMs: number): void {
+  private _addCost (caller: string, costMs: number): void {
     this.costMs = this._promises.size === 0 ? 0 : this.costMs + costMs
     const left = this.costOf(caller) + costMs
     if (left > 1e-9) this._costByCaller.set(caller, left)
--- a/src/common/policy/RunTimeLearner.ts
+++ b/src/common/policy/RunTimeLearner.ts
@@ -25,9 +25,9 @@
 const MAX_SAMPLES = 1_024
 
 /** The run time assumed when a service has neither enough runs nor a declared run time. */
-const UNKNOWN_RUN_MS = 100
+const DEFAULT_RUN_MS = 100
 
-const LONGEST_RUN_MS = 7 * 86_400_000
+const MAX_RUN_MS = 7 * 86_400_000
 
 interface IRunTimes {
   readonly counts: Float32Array
@@ -42,13 +42,13 @@
     return this._services.size
   }
 
-  public note (service: string, runMs: number): void {
+  public record (service: string, runMs: number): void {
     const times = this._services.get(service) ?? this._create(service)
-    if (times.samples >= MAX_SAMPLES) halve(times)
+    if (times.samples >= MAX_SAMPLES) halveCounts(times)
     const bucket = bucketOf(runMs)
     times.counts[bucket] = (times.counts[bucket] ?? 0) + 1
     times.samples += 1
-    times.totalMs += Math.min(runMs, LONGEST_RUN_MS)
+    times.totalMs += Math.min(runMs, MAX_RUN_MS)
   }
 
   /** The mean run time, for costs and drain rates: means can be summed, medians can't. */
@@ -67,7 +67,7 @@
       left -= times.counts[bucket] ?? 0
       if (left <= 0) return 2 ** ((bucket + 1) / BUCKETS_PER_OCTAVE)
     }
-    return LONGEST_RUN_MS
+    return MAX_RUN_MS
   }
 
   private _create (service: string): IRunTimes {
@@ -82,13 +82,13 @@
   return Math.min(bucket, BUCKETS - 1)
 }
 
-function halve (times: IRunTimes): void {
+function halveCounts (times: IRunTimes): void {
   for (let bucket = 0; bucket < BUCKETS; bucket++) times.counts[bucket] = (times.counts[bucket] ?? 0) / 2
   times.samples /= 2
   times.totalMs /= 2
 }
 
 function declaredMs (item: IWorkItem): number {
-  const declared = item.declaredRunMs ?? UNKNOWN_RUN_MS
-  return Math.min(Math.max(declared, 1), LONGEST_RUN_MS)
+  const declared = item.declaredRunMs ?? DEFAULT_RUN_MS
+  return Math.min(Math.max(declared, 1), MAX_RUN_MS)
 }
--- a/src/common/policy/RunningWork.ts
+++ b/src/common/policy/RunningWork.ts
@@ -24,35 +24,35 @@
   readonly costMs: number
 }
 
-export interface IReport {
+export interface IUsageReport {
   readonly item: IWorkItem
-  readonly hasFreedRoom: boolean
+  readonly hasFreedCapacity: boolean
 }
 
 export class RunningWork {
   private readonly _starts = new Map<string, IStart>()
-  private readonly _released = new DrainRate()
-  private readonly _reserve = new UrgentReserve()
+  private readonly _releaseRate = new DrainRate()
+  private readonly _urgentReserve = new UrgentReserve()
 
   public constructor (
     private readonly _clock: IClock,
     private readonly _ledger: CapacityLedger,
-    private readonly _use: UseLedger,
+    private readonly _usage: UseLedger,
     private readonly _queue: FairQueue,
     private readonly _chooser: HostChooser,
-    private readonly _preemption: Preemption
+    private readonly _victimSelector: Preemption
   ) {
-    this._released.startBacklog(_clock.nowMs())
+    this._releaseRate.startBacklog(_clock.nowMs())
   }
 
   public start (start: IStart, host: LedgerHost): void {
     const { item, need, queue, costMs } = start
     const nowMs = this._clock.nowMs()
     const running = this._ledger.start(item, host, need, nowMs)
-    this._use.add(item, running.counted)
-    this._noteUrgent(item, running.counted, 1)
-    this._chooser.noteStarted(item, host, nowMs)
-    this._preemption.noteStarted(running)
+    this._usage.add(item, running.counted)
+    this._countUrgent(item, running.counted, 1)
+    this._chooser.recordStart(item, host, nowMs)
+    this._victimSelector.recordStart(running)
     this._queue.charge({ queue, costMs }, item.caller)
     this._starts.set(item.id, start)
   }
@@ -61,7 +61,7 @@
     const running = this._ledger.finish(itemId)
     if (running === undefined) return undefined
     this._settle(running, serviceMs)
-    this._released.noteStarted(this._ledger.shareOf(running.counted), this._clock.nowMs())
+    this._releaseRate.recordDrained(this._ledger.shareOf(running.counted), this._clock.nowMs())
     return running
   }
 
@@ -71,37 +71,37 @@
     return lost
   }
 
-  public reportUsage (itemId: string, usage: IResources): IReport | undefined {
+  public reportUsage (itemId: string, usage: IResources): IUsageReport | undefined {
     const running = this._ledger.runningItem(itemId)
     if (running === undefined) return undefined
     const before = running.counted
     this._ledger.reportUsage(itemId, usage)
-    this._use.recount(running.item, before, running.counted)
-    return { item: running.item, hasFreedRoom: !fits(before, running.counted) }
+    this._usage.update(running.item, before, running.counted)
+    return { item: running.item, hasFreedCapacity: !fits(before, running.counted) }
   }
 
   /** The share of the capacity in use that comes free per millisecond. */
   public turnoverPerMs (): number {
     const inUse = this._ledger.shareOf(this._ledger.used)
-    return inUse <= 0 ? Infinity : this._released.perMs(0, this._clock.nowMs()) / inUse
+    return inUse <= 0 ? Infinity : this._releaseRate.perMs(0, this._clock.nowMs()) / inUse
   }
 
   /** Whether long work with this need would use capacity that urgent work is likely to need again. */
-  public isKeptForUrgent (need: IResources): boolean {
+  public isReservedForUrgent (need: IResources): boolean {
     const used = this._ledger.shareOf(this._ledger.used) + this._ledger.shareOf(need)
-    return used > 1 - this._reserve.shareToKeep(this._clock.nowMs())
+    return used > 1 - this._urgentReserve.shareToKeep(this._clock.nowMs())
   }
 
-  private _noteUrgent (item: IWorkItem, counted: IResources, sign: 1 | -1): void {
-    if (item.profile.priorityClass === 'urgent') this._reserve.add(sign * this._ledger.shareOf(counted), this._clock.nowMs())
+  private _countUrgent (item: IWorkItem, counted: IResources, sign: 1 | -1): void {
+    if (item.profile.priorityClass === 'urgent') this._urgentReserve.add(sign * this._ledger.shareOf(counted), this._clock.nowMs())
   }
 
   private _settle (running: IRunningItem, serviceMs: number): void {
     const { item, host, counted } = running
-    this._use.remove(item, counted)
-    this._noteUrgent(item, counted, -1)
-    this._chooser.noteEnded(item, host)
-    this._preemption.noteEnded(running)
+    this._usage.remove(item, counted)
+    this._countUrgent(item, counted, -1)
+    this._chooser.recordEnd(item, host)
+    this._victimSelector.recordEnd(running)
     const start = this._starts.get(item.id)
     this._starts.delete(item.id)
     if (start === undefined) return
--- a/src/common/policy/ShiftPolicy.ts
+++ b/src/common/policy/ShiftPolicy.ts
@@ -8,10 +8,7 @@
 import type { IRandom, MonotonicMs } from '../Types.js'
 import type { IEngineLoad, IWorkItem } from './Types.js'
 
-/**
- * The least gain of a move: within a region a move costs a few milliseconds, and a smaller gain isn't worth the
- * message.
- */
+/** The least gain of a move: within a region a move costs a few milliseconds, and a smaller gain isn't worth the message. */
 const MIN_GAIN_MS = 200
 
 /**
@@ -79,28 +76,28 @@
   public choose (request: IShiftRequest): string | undefined {
     if (request.hasMoved || request.ownWaitMs < MIN_GAIN_MS) return undefined
     const peers = [...this._peers.values()]
-    const near = this._better(peers.filter((peer) => peer.summary.region === request.ownRegion), request)
-    const chosen = near ?? this._better(peers.filter((peer) => peer.summary.region !== request.ownRegion), request)
+    const near = this._chooseAmong(peers.filter((peer) => peer.summary.region === request.ownRegion), request)
+    const chosen = near ?? this._chooseAmong(peers.filter((peer) => peer.summary.region !== request.ownRegion), request)
     if (chosen === undefined) return undefined
     chosen.movedShare += dominantShare(request.item.resources, chosen.summary.load.capacity)
     return chosen.summary.schedulerId
   }
 
   /** Draws two peers at random of those worth the move and returns the one with the shorter wait. */
-  private _better (peers: readonly IPeer[], request: IShiftRequest): IPeer | undefined {
-    const worthIt = peers.filter((peer) => isWorthIt(peer, request))
-    const first = this._draw(worthIt)
-    const second = this._draw(worthIt)
+  private _chooseAmong (peers: readonly IPeer[], request: IShiftRequest): IPeer | undefined {
+    const candidates = peers.filter((peer) => isWorthMove(peer, request))
+    const first = this._drawRandom(candidates)
+    const second = this._drawRandom(candidates)
     if (first === undefined || second === undefined) return undefined
     return waitAt(first, request.item) <= waitAt(second, request.item) ? first : second
   }
 
-  private _draw (peers: readonly IPeer[]): IPeer | undefined {
+  private _drawRandom (peers: readonly IPeer[]): IPeer | undefined {
     return peers[Math.floor(this._random.next() * peers.length)]
   }
 }
 
-function isWorthIt (peer: IPeer, request: IShiftRequest): boolean {
+function isWorthMove (peer: IPeer, request: IShiftRequest): boolean {
   const { summary, movedShare } = peer
   const { item, ownWaitMs, nowMs } = request
   if (nowMs - summary.seenAtMs > MAX_SUMMARY_AGE_MS || !fits(item.resources, summary.load.largestFree)) return false
--- a/src/common/policy/SizeLearner.ts
+++ b/src/common/policy/SizeLearner.ts
@@ -27,7 +27,7 @@
 export class SizeLearner {
   private readonly _services = new LRUCache<string, IFactors>({ max: MAX_SERVICES })
 
-  public note (item: IWorkItem, usage: IResources): void {
+  public record (item: IWorkItem, usage: IResources): void {
     const factors = this._services.get(item.service) ?? { cores: 1, memoryBytes: 1, reports: 0 }
     const weight = Math.max(REPORT_WEIGHT, 1 / (factors.reports + 1))
     factors.cores += weight * (factorOf(usage.cores, item.resources.cores) - factors.cores)
@@ -42,7 +42,7 @@
    * Reports lag by seconds. Until then, a service that declares far too little would overfill a host several times over
    * by its declared sizes, and the host would be over its capacity although the ledger is not.
    */
-  public expected (item: IWorkItem): IResources {
+  public expectedUsage (item: IWorkItem): IResources {
     const factors = this._services.get(item.service)
     if (factors === undefined || factors.reports < MIN_REPORTS) return item.resources
     if (factors.cores <= 1 && factors.memoryBytes <= 1) return item.resources
--- a/src/common/policy/StopPlan.ts
+++ b/src/common/policy/StopPlan.ts
@@ -20,17 +20,17 @@
 
 export class StopPlan {
   /** Items being stopped, by id, with the shape of the urgent work that each of them makes way for. */
-  private readonly _stopping = new Map<string, string>()
+  private readonly _shapeByStoppingItem = new Map<string, string>()
 
   public constructor (
     private readonly _ledger: CapacityLedger,
-    private readonly _use: UseLedger,
+    private readonly _usage: UseLedger,
     private readonly _queue: FairQueue,
-    private readonly _preemption: Preemption
+    private readonly _victimSelector: Preemption
   ) {}
 
-  public noteEnded (itemId: string): void {
-    this._stopping.delete(itemId)
+  public recordEnd (itemId: string): void {
+    this._shapeByStoppingItem.delete(itemId)
   }
 
   /**
@@ -41,31 +41,31 @@
    * request more, and all preemptible work would be stopped within milliseconds for a few urgent tasks.
    */
   public choose (entry: IQueueEntry, nowMs: MonotonicMs): readonly IStop[] {
-    const { item, need, line } = entry
-    const { shape } = line.lane
-    if (this._underWay(shape) >= line.entries.size) return []
-    const victims = this._preemption.choose(item, need, nowMs, (profile, lost) => this._keepsFloor(profile, lost))
+    const { item, need, callerQueue } = entry
+    const { shape } = callerQueue.lane
+    if (this._countPending(shape) >= callerQueue.entries.size) return []
+    const victims = this._victimSelector.choose(item, need, nowMs, (profile, lost) => this._keepsFloor(profile, lost))
     for (const victim of victims) {
       victim.isStopping = true
-      this._stopping.set(victim.item.id, shape)
+      this._shapeByStoppingItem.set(victim.item.id, shape)
     }
     return victims.map((victim) => ({ itemId: victim.item.id, hostId: victim.host.hostId }))
   }
 
-  private _underWay (shape: string): number {
+  private _countPending (shape: string): number {
     let count = 0
-    for (const other of this._stopping.values()) if (other === shape) count += 1
+    for (const other of this._shapeByStoppingItem.values()) if (other === shape) count += 1
     return count
   }
 
   /** Whether the profile keeps its floor without `lost` and without what is already being stopped. */
   private _keepsFloor (profile: IProfile, lost: IResources): boolean {
     const leaving = { ...lost }
-    for (const itemId of this._stopping.keys()) {
+    for (const itemId of this._shapeByStoppingItem.keys()) {
       const running = this._ledger.runningItem(itemId)
       if (running?.item.profile.name === profile.name) addInto(leaving, running.counted)
     }
-    const left = this._use.profileShare(profile.name, this._ledger.capacity) - this._ledger.shareOf(leaving)
+    const left = this._usage.profileShare(profile.name, this._ledger.capacity) - this._ledger.shareOf(leaving)
     return left >= this._queue.floorShare(this._queue.profileFor(profile))
   }
 }
--- a/src/common/policy/Types.ts
+++ b/src/common/policy/Types.ts
@@ -42,7 +42,7 @@
 /** The next action for the scheduler. */
 export type EngineDecision =
   | { readonly type: 'place', readonly item: IWorkItem, readonly hostId: string, readonly waitMs: number }
-  /** Stop this running item to free capacity; it stays counted until `finished` is called for it. */
+  /** Stop this running item to free capacity; it stays counted until `recordEnd` is called for it. */
   | { readonly type: 'preempt', readonly itemId: string, readonly hostId: string, readonly forItemId: string }
   /** The item can't be started any more: answer its caller now. */
   | { readonly type: 'giveUp', readonly item: IWorkItem, readonly reason: OutcomeReason, readonly retryAfterMs: number }
--- a/src/common/policy/UrgentReserve.ts
+++ b/src/common/policy/UrgentReserve.ts
@@ -5,10 +5,7 @@
 
 import type { MonotonicMs } from '../Types.js'
 
-/**
- * The half-life of the remembered peak: a stream of urgent work with gaps of seconds keeps its capacity, one that has
- * ended releases it.
- */
+/** The half-life of the remembered peak: a stream of urgent work with gaps of seconds keeps its capacity, one that has ended releases it. */
 const HALF_LIFE_MS = 30_000
 
 export class UrgentReserve {
--- a/src/common/policy/UseLedger.ts
+++ b/src/common/policy/UseLedger.ts
@@ -13,14 +13,14 @@
 /** What hosts offer: slots for requests, or cores, memory and accelerators for tasks. */
 export type CapacityKind = 'slots' | 'resources'
 
-interface IUse {
+interface IUsage {
   count: number
   readonly resources: IMutableResources
 }
 
 export class UseLedger {
-  private readonly _profiles = new Map<string, IUse>()
-  private readonly _teams = new Map<string, IUse>()
+  private readonly _profiles = new Map<string, IUsage>()
+  private readonly _teams = new Map<string, IUsage>()
   private readonly _quotas = new Map<string, ITeamConfig>()
 
   public constructor (private readonly _kind: CapacityKind) {}
@@ -30,24 +30,24 @@
   }
 
   public add (item: IWorkItem, counted: IResources): void {
-    for (const use of this._usesOf(item)) {
-      use.count += 1
-      addInto(use.resources, counted)
+    for (const usage of this._usagesOf(item)) {
+      usage.count += 1
+      addInto(usage.resources, counted)
     }
   }
 
   public remove (item: IWorkItem, counted: IResources): void {
-    for (const use of this._usesOf(item)) {
-      use.count -= 1
-      subtractFrom(use.resources, counted)
+    for (const usage of this._usagesOf(item)) {
+      usage.count -= 1
+      subtractFrom(usage.resources, counted)
     }
   }
 
   /** Updates the usage of a running item after a report. */
-  public recount (item: IWorkItem, before: IResources, after: IResources): void {
-    for (const use of this._usesOf(item)) {
-      subtractFrom(use.resources, before)
-      addInto(use.resources, after)
+  public update (item: IWorkItem, before: IResources, after: IResources): void {
+    for (const usage of this._usagesOf(item)) {
+      subtractFrom(usage.resources, before)
+      addInto(usage.resources, after)
     }
   }
 
@@ -57,11 +57,11 @@
 
   /** The share of `capacity` that the profile uses in its dominant resource. */
   public profileShare (name: string, capacity: IResources): number {
-    const use = this._profiles.get(name)
-    return use === undefined ? 0 : dominantShare(use.resources, capacity)
+    const usage = this._profiles.get(name)
+    return usage === undefined ? 0 : dominantShare(usage.resources, capacity)
   }
 
-  public isProfileOpen (profile: IProfile, count = 1): boolean {
+  public isWithinMaxRunning (profile: IProfile, count = 1): boolean {
     return this.profileCount(profile.name) + count <= profile.maxRunning
   }
 
@@ -74,29 +74,29 @@
   }
 
   /** Whether the items would be within their team's quota if nothing else of the team ran. */
-  public couldEverRun (items: readonly IWorkItem[]): boolean {
+  public couldEverFitQuota (items: readonly IWorkItem[]): boolean {
     const [first] = items
     const quota = first === undefined ? undefined : this._quotas.get(first.team)
     return quota === undefined || this._fitsQuota(items, quota, undefined)
   }
 
-  private _fitsQuota (items: readonly IWorkItem[], quota: ITeamConfig, use: IUse | undefined): boolean {
-    if (this._kind === 'slots') return (use?.count ?? 0) + items.length <= quota.maxSlots
+  private _fitsQuota (items: readonly IWorkItem[], quota: ITeamConfig, usage: IUsage | undefined): boolean {
+    if (this._kind === 'slots') return (usage?.count ?? 0) + items.length <= quota.maxSlots
     const sum = zeroResources()
-    if (use !== undefined) addInto(sum, use.resources)
+    if (usage !== undefined) addInto(sum, usage.resources)
     for (const item of items) addInto(sum, item.resources)
     return sum.cores <= quota.maxCores && sum.accelerators <= quota.maxAccelerators
   }
 
-  private _usesOf (item: IWorkItem): readonly IUse[] {
-    return [useOf(this._profiles, item.profile.name), useOf(this._teams, item.team)]
+  private _usagesOf (item: IWorkItem): readonly IUsage[] {
+    return [usageOf(this._profiles, item.profile.name), usageOf(this._teams, item.team)]
   }
 }
 
-function useOf (uses: Map<string, IUse>, name: string): IUse {
-  const known = uses.get(name)
+function usageOf (usages: Map<string, IUsage>, name: string): IUsage {
+  const known = usages.get(name)
   if (known !== undefined) return known
-  const use: IUse = { count: 0, resources: zeroResources() }
-  uses.set(name, use)
-  return use
+  const usage: IUsage = { count: 0, resources: zeroResources() }
+  usages.set(name, usage)
+  return usage
 }
--- a/src/common/policy/WorkEstimates.ts
+++ b/src/common/policy/WorkEstimates.ts
@@ -9,16 +9,10 @@
 import type { CapacityLedger } from './CapacityLedger.js'
 import type { IWorkItem } from './Types.js'
 
-/**
- * A request is given up when its median run no longer fits before its deadline, but never within the first half of the
- * time that it is allowed.
- */
+/** A request is given up when its median run no longer fits before its deadline, but never within the first half of the time that it is allowed. */
 const MAX_RUN_SHARE_OF_DEADLINE = 0.5
 
-/**
- * Work may backfill held capacity if this share of its service's runs would have ended by the time the capacity is
- * needed.
- */
+/** Work may backfill held capacity if this share of its service's runs would have ended by the time the capacity is needed. */
 const BACKFILL_CONFIDENCE = 0.95
 
 /** Work that may run longer than this is kept out of capacity that urgent work is likely to need again. */
@@ -34,17 +28,17 @@
     return this._runTimes.serviceCount
   }
 
-  public noteRun (item: IWorkItem, runMs: number): void {
-    this._runTimes.note(item.service, runMs)
+  public recordRun (item: IWorkItem, runMs: number): void {
+    this._runTimes.record(item.service, runMs)
   }
 
-  public noteUsage (item: IWorkItem, usage: IResources): void {
-    this._sizes.note(item, usage)
+  public recordUsage (item: IWorkItem, usage: IResources): void {
+    this._sizes.record(item, usage)
   }
 
   /** The expected usage of an item, or its declared size if no host could hold the expected usage. */
-  public need (item: IWorkItem): IResources {
-    const expected = this._sizes.expected(item)
+  public expectedUsage (item: IWorkItem): IResources {
+    const expected = this._sizes.expectedUsage(item)
     return expected === item.resources || !this._ledger.isFeasible(expected) ? item.resources : expected
   }
 
@@ -61,12 +55,12 @@
     return item.deadlineAtMs - runMs
   }
 
-  public isLong (item: IWorkItem): boolean {
-    return item.profile.priorityClass !== 'urgent' && this.endsWithinMs(item) > LONG_RUN_MS
+  public isLongRunning (item: IWorkItem): boolean {
+    return item.profile.priorityClass !== 'urgent' && this.likelyRunMs(item) > LONG_RUN_MS
   }
 
   /** How long the item will run, at a confidence of `BACKFILL_CONFIDENCE`. */
-  public endsWithinMs (item: IWorkItem): number {
+  public likelyRunMs (item: IWorkItem): number {
     return this._runTimes.quantileMs(item, BACKFILL_CONFIDENCE)
   }
 }
