--- a/src/common/policy/HostGrid.ts
+++ b/src/common/policy/HostGrid.ts
@@ -1,6 +1,6 @@
 /**
- * Hosts by free cores and free memory, on a logarithmic grid with a bit mask per row and column, so that finding the
- * tightest host with room looks at a few words instead of at every host.
+ * Indexes hosts by free cores and free memory on a logarithmic grid with a bit mask per row and column. Finding the
+ * tightest host with enough free capacity reads a few words instead of every host.
  */
 
 import { dominantShare, fits } from './Resources.js'
@@ -11,28 +11,28 @@
 /** Levels per dimension: one bit each in a 32-bit mask. */
 const LEVELS = 32
 
-/** Two levels an octave: hosts of one cell differ by less than 42%. */
+/** Levels per octave: hosts in one cell differ by less than 42%. */
 const LEVELS_PER_OCTAVE = 2
 
-/** The smallest amounts told apart. With 31 levels above zero they reach 5,792 cores and 724 GiB. */
+/** The smallest amounts that are distinguished. With 31 levels above zero they reach 5,792 cores and 724 GiB. */
 const SMALLEST_CORES = 0.125
 const SMALLEST_MEMORY_BYTES = 16 * 2 ** 20
 
 /**
- * The most hosts looked at in one cell. Only in the cells at the edge of the need can a host turn out too small, and
- * the start rotates, so that a host missed once is found soon after; without the limit one decision over a cell
- * with thousands of nearly full hosts would take milliseconds.
+ * The most hosts checked in one cell. A host can be too small only in the cells at the edge of the need, and the start
+ * of the scan rotates, so that a missed host is found soon after. Without the limit, one decision over a cell with
+ * thousands of nearly full hosts would take milliseconds.
  */
-const MAX_LOOKED_AT = 32
+const MAX_HOSTS_CHECKED = 32
 
-/** Of hosts with as many slots free, the one with the fewest in flight is preferred: a tie-break, below one slot. */
+/** A tie-break, worth less than one slot: of hosts with equally many free slots, the one with the fewest requests in flight is preferred. */
 const IN_FLIGHT_WEIGHT = 1e-6
 
-/** Which of the hosts with room to prefer. */
+/** Which of the hosts with enough free capacity to prefer. */
 export type GridOrder =
-  /** The one that is left with the least: keeps large places whole. */
+  /** The one with the least free capacity: keeps large gaps whole. */
   | 'tightest'
-  /** The one with the most room: the fewest requests in flight. */
+  /** The one with the most free capacity, which has the fewest requests in flight. */
   | 'freest'
 
 export type HostFilter = (host: LedgerHost) => boolean
@@ -44,7 +44,7 @@
   position: number
 }
 
-/** The level of an amount: 0 for none, then two an octave. */
+/** The level of an amount: 0 for none, then two levels per octave. */
 export function levelOf (amount: number, smallest: number): number {
   if (amount <= 0) return 0
   const level = 1 + Math.floor(LEVELS_PER_OCTAVE * Math.log2(amount / smallest))
@@ -70,33 +70,33 @@
     return this._entries.size
   }
 
-  /** Adds a host or moves it to where its free room belongs. */
+  /** Adds a host or moves it to the cell of its free capacity. */
   public set (host: LedgerHost, free: IResources): void {
     const cell = coreLevel(free.cores) * LEVELS + memoryLevel(free.memoryBytes)
     const entry = this._entries.get(host)
     if (entry === undefined) {
-      this._insert({ host, free, cell, position: 0 })
+      this._insertIntoCell({ host, free, cell, position: 0 })
       return
     }
     entry.free = free
     if (entry.cell === cell) return
-    this._unlink(entry)
+    this._removeFromCell(entry)
     entry.cell = cell
-    this._insert(entry)
+    this._insertIntoCell(entry)
   }
 
   public delete (host: LedgerHost): void {
     const entry = this._entries.get(host)
     if (entry === undefined) return
-    this._unlink(entry)
+    this._removeFromCell(entry)
     this._entries.delete(host)
   }
 
   /**
-   * A host with room for `need`.
+   * Returns a host with enough free capacity for `need`.
    *
-   * Made for placing thousands of tasks a second on tens of thousands of hosts. The walk goes along the dimension of
-   * which the need takes the larger share, because that one decides what the host can still take afterwards.
+   * Must support placing thousands of tasks a second on tens of thousands of hosts. The search goes along the dimension
+   * of which the need takes the larger share, because that dimension limits what the host can still take afterwards.
    */
   public find (need: IResources, order: GridOrder, isAllowed: HostFilter): LedgerHost | undefined {
     const row = coreLevel(need.cores)
@@ -105,11 +105,11 @@
     if (order === 'freest') return this._findFreest(need, row, column, isAllowed)
     const isCoreBound = row - coreLevel(1) >= column - memoryLevel(2 ** 31)
     return isCoreBound
-      ? this._findTightest(need, row, column, isAllowed)
-      : this._findByMemory(need, row, column, isAllowed)
+      ? this._findTightestByCores(need, row, column, isAllowed)
+      : this._findTightestByMemory(need, row, column, isAllowed)
   }
 
-  /** The free room of a host that is among those with the most cores free. */
+  /** The free capacity of one of the hosts with the most free cores. */
   public freest (): IResources | undefined {
     for (let cell = LEVELS * LEVELS - 1; cell >= 0; cell--) {
       const [entry] = this._cells[cell] ?? []
@@ -118,22 +118,22 @@
     return undefined
   }
 
-  private _findTightest (need: IResources, row: number, column: number, isAllowed: HostFilter): LedgerHost | undefined {
+  private _findTightestByCores (need: IResources, row: number, column: number, isAllowed: HostFilter): LedgerHost | undefined {
     for (let r = row; r < LEVELS; r++) {
       const mask = (this._rowMasks[r] ?? 0) >>> column
       for (let rest = mask, c = column; rest !== 0; rest >>>= 1, c++) {
-        const host = (rest & 1) === 0 ? undefined : this._pick(r * LEVELS + c, need, 'tightest', isAllowed)
+        const host = (rest & 1) === 0 ? undefined : this._findInCell(r * LEVELS + c, need, 'tightest', isAllowed)
         if (host !== undefined) return host
       }
     }
     return undefined
   }
 
-  private _findByMemory (need: IResources, row: number, column: number, isAllowed: HostFilter): LedgerHost | undefined {
+  private _findTightestByMemory (need: IResources, row: number, column: number, isAllowed: HostFilter): LedgerHost | undefined {
     for (let c = column; c < LEVELS; c++) {
       const mask = (this._columnMasks[c] ?? 0) >>> row
       for (let rest = mask, r = row; rest !== 0; rest >>>= 1, r++) {
-        const host = (rest & 1) === 0 ? undefined : this._pick(r * LEVELS + c, need, 'tightest', isAllowed)
+        const host = (rest & 1) === 0 ? undefined : this._findInCell(r * LEVELS + c, need, 'tightest', isAllowed)
         if (host !== undefined) return host
       }
     }
@@ -145,16 +145,16 @@
       const mask = this._rowMasks[r] ?? 0
       if (mask === 0) continue
       for (let c = LEVELS - 1; c >= column; c--) {
-        const host = (mask >>> c & 1) === 0 ? undefined : this._pick(r * LEVELS + c, need, 'freest', isAllowed)
+        const host = (mask >>> c & 1) === 0 ? undefined : this._findInCell(r * LEVELS + c, need, 'freest', isAllowed)
         if (host !== undefined) return host
       }
     }
     return undefined
   }
 
-  private _pick (cell: number, need: IResources, order: GridOrder, isAllowed: HostFilter): LedgerHost | undefined {
+  private _findInCell (cell: number, need: IResources, order: GridOrder, isAllowed: HostFilter): LedgerHost | undefined {
     const entries = this._cells[cell] ?? []
-    const count = Math.min(entries.length, MAX_LOOKED_AT)
+    const count = Math.min(entries.length, MAX_HOSTS_CHECKED)
     let best: LedgerHost | undefined
     let bestScore = Infinity
     for (let i = 0; i < count; i++) {
@@ -171,16 +171,16 @@
     return best
   }
 
-  private _insert (entry: IGridEntry): void {
+  private _insertIntoCell (entry: IGridEntry): void {
     const entries = this._cells[entry.cell]
     if (entries === undefined) return
     entry.position = entries.length
     entries.push(entry)
     this._entries.set(entry.host, entry)
-    this._setBits(entry.cell, true)
+    this._setMaskBits(entry.cell, true)
   }
 
-  private _unlink (entry: IGridEntry): void {
+  private _removeFromCell (entry: IGridEntry): void {
     const entries = this._cells[entry.cell]
     const last = entries?.pop()
     if (entries === undefined || last === undefined) return
@@ -188,10 +188,10 @@
       entries[entry.position] = last
       last.position = entry.position
     }
-    if (entries.length === 0) this._setBits(entry.cell, false)
+    if (entries.length === 0) this._setMaskBits(entry.cell, false)
   }
 
-  private _setBits (cell: number, on: boolean): void {
+  private _setMaskBits (cell: number, on: boolean): void {
     const row = Math.floor(cell / LEVELS)
     const column = cell % LEVELS
     const rowMask = this._rowMasks[row] ?? 0
