--- a/src/runtime/HostCommand.ts
+++ b/src/runtime/HostCommand.ts
@@ -11,7 +11,7 @@
 import { parseAnswer } from './Answers.js'
 import { exchange } from './HttpExchange.js'
 
-import type { IHttpAnswer, IHttpAsk } from './HttpExchange.js'
+import type { IHttpResponse, IHttpRequest } from './HttpExchange.js'
 import type { UpstreamError } from './Types.js'
 
 export interface IHostCommand {
@@ -24,7 +24,7 @@
   readonly timeoutMs: number
 }
 
-type Named = Pick<IHttpAsk, 'step' | 'peer'>
+type Named = Pick<IHttpRequest, 'step' | 'peer'>
 
 const JSON_HEADERS = ['content-type', 'application/json']
 const REFUSED_HEADER = 'x-refused'
@@ -36,7 +36,7 @@
 /** Sends a command and gives the host's status. */
 export function sendCommand<T> (dispatcher: Dispatcher, command: IHostCommand, schema: z.ZodType<T>): ResultAsync<T, UpstreamError> {
   const { step, peer, path, timeoutMs } = command
-  const ask: IHttpAsk = { step, peer, method: 'POST', path, headers: JSON_HEADERS, body: JSON.stringify(command.ask), timeoutMs }
+  const ask: IHttpRequest = { step, peer, method: 'POST', path, headers: JSON_HEADERS, body: JSON.stringify(command.ask), timeoutMs }
   return exchange(dispatcher, ask).andThen((answer) => takeStatus(ask, answer, schema))
 }
 
@@ -44,14 +44,14 @@
  * The refusal that an answer states, or nothing if the command was taken. The header `x-refused` is the host's own
  * word; a status alone is not, because a service may answer 409 or 503 after it has run.
  */
-export function statedRefusal (ask: Named, answer: IHttpAnswer): RefusedError | FencedError | undefined {
+export function statedRefusal (ask: Named, answer: IHttpResponse): RefusedError | FencedError | undefined {
   const refused = answer.headers[REFUSED_HEADER]
   if (refused === undefined) return undefined
   if (refused === FENCED) return new FencedError(ask.step, ask.peer, Number(answer.headers[EPOCH_HEADER]))
   return new RefusedError(ask.step, ask.peer, String(refused))
 }
 
-function takeStatus<T> (ask: Named, answer: IHttpAnswer, schema: z.ZodType<T>): Result<T, UpstreamError> {
+function takeStatus<T> (ask: Named, answer: IHttpResponse, schema: z.ZodType<T>): Result<T, UpstreamError> {
   const refusal = statedRefusal(ask, answer)
   if (refusal !== undefined) return err(refusal)
   const what = `status ${answer.status}`
--- a/src/runtime/HostListClient.ts
+++ b/src/runtime/HostListClient.ts
@@ -11,7 +11,7 @@
 import { exchange } from './HttpExchange.js'
 
 import type { IDisposable } from '../common/Types.js'
-import type { IHttpAnswer } from './HttpExchange.js'
+import type { IHttpResponse } from './HttpExchange.js'
 import type { IHostList, IHostRecord, StoreError } from './Types.js'
 
 export interface IHostListClientOptions {
@@ -53,7 +53,7 @@
    * Of a malformed record, the last good one of the same host stands. One bad entry must not hide all other hosts, nor
    * make its own host look gone: what runs there would be started elsewhere while it still runs.
    */
-  private _records (answer: IHttpAnswer): Result<readonly IHostRecord[], StoreError> {
+  private _records (answer: IHttpResponse): Result<readonly IHostRecord[], StoreError> {
     if (answer.status !== STATUS_OK) return err(new UnreachableError(STEP, PEER, `status ${answer.status}`))
     return parseAnswer(hostListAnswer, answer.body)
       .mapErr((what) => new UnreachableError(STEP, PEER, what))
--- a/src/runtime/HttpExchange.ts
+++ b/src/runtime/HttpExchange.ts
@@ -10,7 +10,7 @@
 import type { Dispatcher } from 'undici'
 import { AmbiguousError, RefusedError, UnreachableError } from '../common/Errors.js'
 
-export interface IHttpAsk {
+export interface IHttpRequest {
   /** For errors: what is being done, and with whom. */
   readonly step: string
   readonly peer: string
@@ -26,7 +26,7 @@
   readonly signal?: AbortSignal | undefined
 }
 
-export interface IHttpAnswer {
+export interface IHttpResponse {
   readonly status: number
   readonly headers: IncomingHttpHeaders
   readonly body: Uint8Array
@@ -35,7 +35,7 @@
 /** `UnreachableError` and `RefusedError`: never written. `AmbiguousError`: written, and no whole answer came. */
 export type HttpError = UnreachableError | AmbiguousError | RefusedError
 
-type Settle = (result: Result<IHttpAnswer, HttpError>) => void
+type Settle = (result: Result<IHttpResponse, HttpError>) => void
 
 const EMPTY_BODY = new Uint8Array(0)
 const FIRST_FINAL_STATUS = 200
@@ -43,7 +43,7 @@
 const INVALID_ARGUMENT_CODE = 'UND_ERR_INVALID_ARG'
 
 /** Sends `ask` once. Never rejects. */
-export function exchange (dispatcher: Dispatcher, ask: IHttpAsk): ResultAsync<IHttpAnswer, HttpError> {
+export function exchange (dispatcher: Dispatcher, ask: IHttpRequest): ResultAsync<IHttpResponse, HttpError> {
   return new ResultAsync(new Promise((resolve) => {
     new HttpExchange(ask, resolve).start(dispatcher)
   }))
@@ -59,7 +59,7 @@
   private _chunks: Uint8Array[] | undefined
   private _body: Uint8Array = EMPTY_BODY
 
-  public constructor (private readonly _ask: IHttpAsk, private readonly _settle: Settle) {}
+  public constructor (private readonly _ask: IHttpRequest, private readonly _settle: Settle) {}
 
   public start (dispatcher: Dispatcher): void {
     const { method, path, headers, body, timeoutMs, silenceMs, signal } = this._ask
@@ -150,7 +150,7 @@
     else this._finish(err(new AmbiguousError(step, peer, why, options)))
   }
 
-  private _finish (result: Result<IHttpAnswer, HttpError>): void {
+  private _finish (result: Result<IHttpResponse, HttpError>): void {
     if (this._state === 'settled') return
     this._state = 'settled'
     clearTimeout(this._timer)
--- a/src/runtime/KeyValueClient.ts
+++ b/src/runtime/KeyValueClient.ts
@@ -14,7 +14,7 @@
 import { StoreWatch } from './StoreWatch.js'
 
 import type { IDisposable, IRandom, ITimers } from '../common/Types.js'
-import type { HttpError, IHttpAnswer } from './HttpExchange.js'
+import type { HttpError, IHttpResponse } from './HttpExchange.js'
 import type { IWatchPoll, IWatchSource } from './StoreWatch.js'
 import type { IKeyValueStore, IStoreRange, IStoreRecord, IStoreWatchListener, StoreError } from './Types.js'
 
@@ -142,15 +142,15 @@
     return this._call(call).andThen((answer) => this._parse(call, answer, schema))
   }
 
-  private _parse<T> (call: IStoreCall, answer: IHttpAnswer, schema: z.ZodType<T>): Result<T, StoreError> {
+  private _parse<T> (call: IStoreCall, answer: IHttpResponse, schema: z.ZodType<T>): Result<T, StoreError> {
     return parseAnswer(schema, answer.body).mapErr((what) => noAnswer(call, what))
   }
 
-  private _call (call: IStoreCall): ResultAsync<IHttpAnswer, StoreError> {
+  private _call (call: IStoreCall): ResultAsync<IHttpResponse, StoreError> {
     return this._send(call).andThen((answer) => this._checked(call, answer))
   }
 
-  private _send (call: IStoreCall): ResultAsync<IHttpAnswer, StoreError> {
+  private _send (call: IStoreCall): ResultAsync<IHttpResponse, StoreError> {
     this._callCount += 1
     return exchange(call.signal === undefined ? this._calls : this._polls, {
       step: call.step,
@@ -167,7 +167,7 @@
       .mapErr((error) => truthful(call, error))
   }
 
-  private _checked (call: IStoreCall, answer: IHttpAnswer): Result<IHttpAnswer, StoreError> {
+  private _checked (call: IStoreCall, answer: IHttpResponse): Result<IHttpResponse, StoreError> {
     if (answer.status < FIRST_ERROR_STATUS) return ok(answer)
     if (answer.status >= FIRST_SERVER_ERROR_STATUS) return err(noAnswer(call, `status ${answer.status}`))
     if (answer.status === STATUS_CONFLICT) return err(new ConflictError(call.step, PEER, 'another writer was first'))
--- a/src/runtime/RunnerClient.ts
+++ b/src/runtime/RunnerClient.ts
@@ -12,7 +12,7 @@
 import { exchange } from './HttpExchange.js'
 
 import type { IDisposable } from '../common/Types.js'
-import type { IHttpAnswer, IHttpAsk } from './HttpExchange.js'
+import type { IHttpResponse, IHttpRequest } from './HttpExchange.js'
 import type { IFence, IHostRecord, IRunnerAnswer, IRunnerCall, IRunnerClient, IRunnerStatus, UpstreamError } from './Types.js'
 
 export interface IRunnerClientOptions {
@@ -46,7 +46,7 @@
   public constructor (private readonly _options: IRunnerClientOptions = RUNNER_CLIENT_DEFAULTS) {}
 
   public run (host: IHostRecord, call: IRunnerCall): ResultAsync<IRunnerAnswer, UpstreamError> {
-    const ask: IHttpAsk = {
+    const ask: IHttpRequest = {
       step: 'runner.run',
       peer: host.hostId,
       method: 'POST',
@@ -121,7 +121,7 @@
   return PLAIN_HEADER_VALUE.test(text) ? text : encodeURIComponent(text)
 }
 
-function takeAnswer (ask: IHttpAsk, answer: IHttpAnswer): Result<IRunnerAnswer, UpstreamError> {
+function takeAnswer (ask: IHttpRequest, answer: IHttpResponse): Result<IRunnerAnswer, UpstreamError> {
   const refusal = statedRefusal(ask, answer)
   if (refusal !== undefined) return err(refusal)
   const contentType = answer.headers['content-type'] ?? DEFAULT_CONTENT_TYPE
