--- a/src/runtime/Answers.ts
+++ b/src/runtime/Answers.ts
@@ -1,6 +1,6 @@
 /**
- * The shapes of what outside systems answer, checked where they enter: a host that answers something else is treated
- * as one that did not answer.
+ * Schemas of the responses of outside systems. Clients validate each response: a host with an invalid response is treated
+ * as one that did not respond.
  */
 
 import { Result, err, ok } from 'neverthrow'
@@ -14,14 +14,14 @@
 
 const storeRecord = z.object({ key: z.string(), value: z.string(), modRevision: count })
 
-export const storeGetAnswer: z.ZodType<{ readonly record?: IStoreRecord | undefined }> = z.object({ record: storeRecord.optional() })
-export const storeRangeAnswer: z.ZodType<IStoreRange> = z.object({ records: z.array(storeRecord), revision: count })
-export const storeWriteAnswer = z.object({ modRevision: count })
-export const storeLeaseAnswer = z.object({ leaseId: z.string() })
-export const storeWatchAnswer: z.ZodType<{ readonly changes: readonly IStoreChange[], readonly revision: number }> =
+export const storeGetResponse: z.ZodType<{ readonly record?: IStoreRecord | undefined }> = z.object({ record: storeRecord.optional() })
+export const storeRangeResponse: z.ZodType<IStoreRange> = z.object({ records: z.array(storeRecord), revision: count })
+export const storeWriteResponse = z.object({ modRevision: count })
+export const storeLeaseResponse = z.object({ leaseId: z.string() })
+export const storeWatchResponse: z.ZodType<{ readonly changes: readonly IStoreChange[], readonly revision: number }> =
   z.object({ changes: z.array(storeRecord.extend({ deleted: z.boolean() })), revision: count })
 
-export const hostListAnswer = z.object({ hosts: z.array(z.unknown()) })
+export const hostListResponse = z.object({ hosts: z.array(z.unknown()) })
 export const hostRecord: z.ZodType<IHostRecord> = z.object({
   hostId: z.string().min(1),
   kind: z.enum(['runner', 'worker']),
@@ -35,8 +35,8 @@
   capacity: resources
 })
 
-/** As much of a host record as names it. */
-export const namedHost = z.object({ hostId: z.string() })
+/** The part of a host record that identifies the host. */
+export const hostIdentity = z.object({ hostId: z.string() })
 
 export const runnerStatus: z.ZodType<IRunnerStatus> =
   z.object({ slots: count, slotsInUse: count, leaving: z.boolean(), attemptIds: z.array(z.string()) })
@@ -60,8 +60,8 @@
   (body: Uint8Array): unknown => JSON.parse(Buffer.from(body.buffer, body.byteOffset, body.byteLength).toString()),
   (error) => String(error))
 
-/** The body as JSON of this shape, or what is wrong with it. */
-export function parseAnswer<T> (schema: z.ZodType<T>, body: Uint8Array): Result<T, string> {
+/** Parses the body as JSON of this schema, or returns a description of what is wrong with it. */
+export function parseResponse<T> (schema: z.ZodType<T>, body: Uint8Array): Result<T, string> {
   return parseJson(body).andThen((json) => {
     const parsed = schema.safeParse(json)
     return parsed.success ? ok(parsed.data) : err(parsed.error.message)
--- a/src/runtime/BearerToken.ts
+++ b/src/runtime/BearerToken.ts
@@ -14,12 +14,12 @@
   }
 
   /**
-   * Whether an `Authorization` header shows the token.
+   * Whether an `Authorization` header contains the token.
    *
-   * A comparison that stops at the first wrong character takes longer the more characters are right, so a patient
-   * intruder can guess the token one character at a time. Digests of equal length are compared in constant time.
+   * The comparison takes constant time, on digests of equal length. A comparison that stops at the first wrong character
+   * takes longer the more characters are right, so that an attacker could guess the token one character at a time.
    */
-  public admits (authorization: string | undefined): boolean {
+  public matches (authorization: string | undefined): boolean {
     const shown = BEARER.exec(authorization ?? '')?.[1] ?? ''
     return timingSafeEqual(digestOf(shown), this._digest)
   }
--- a/src/runtime/BodyReader.ts
+++ b/src/runtime/BodyReader.ts
@@ -1,5 +1,5 @@
 /**
- * Reads a caller's body whole, within a limit.
+ * Reads the whole body of a caller's request, up to a limit.
  */
 
 import { err, ok } from 'neverthrow'
@@ -9,11 +9,11 @@
 import type { IBadInput } from '../common/requests/Types.js'
 
 const OVERSIZE_STATUS = 413
-const CUT_STATUS = 400
+const INCOMPLETE_STATUS = 400
 
 /**
- * The body, or why it can't be taken. A declared length over the limit is refused before a byte is read, so that
- * oversize uploads cost no memory.
+ * Reads the body, or returns why it is refused. A declared length over the limit is refused before a byte is read, so
+ * that oversize uploads use no memory.
  */
 export async function readBody (request: IncomingMessage, maxBytes: number): Promise<Result<Uint8Array, IBadInput>> {
   const declaredBytes = Number(request.headers['content-length'] ?? 0)
@@ -31,10 +31,10 @@
     else chunks.push(chunk)
   })
   request.once('end', () => resolve(ok(Buffer.concat(chunks))))
-  request.once('error', () => resolve(err({ status: CUT_STATUS, field: 'body', message: 'was cut short' })))
-  request.once('close', () => resolve(err({ status: CUT_STATUS, field: 'body', message: 'was cut short' })))
+  request.once('error', () => resolve(err({ status: INCOMPLETE_STATUS, field: 'body', message: 'was cut short' })))
+  request.once('close', () => resolve(err({ status: INCOMPLETE_STATUS, field: 'body', message: 'was cut short' })))
 }
 
 function oversize (maxBytes: number): Result<never, IBadInput> {
-  return err({ status: OVERSIZE_STATUS, field: 'body', message: `is over the limit of ${maxBytes} bytes` })
+  return err({ status: OVERSIZE_STATUS, field: 'body', message: `exceeds the limit of ${maxBytes} bytes` })
 }
--- a/src/runtime/Broker.ts
+++ b/src/runtime/Broker.ts
@@ -1,6 +1,6 @@
 /**
- * The moleculer broker of one process. It carries the process's own HTTP services and nothing else: no transporter, no
- * discovery, no metrics or tracing of its own, and no signal handlers, because the process decides how it stops.
+ * Creates the moleculer broker of a process. The broker runs only the HTTP services of the process: it has no transporter,
+ * discovery, metrics or tracing, and no signal handlers, because the process itself decides how it stops.
  */
 
 import { ServiceBroker } from 'moleculer'
--- a/src/runtime/BrokerLogger.ts
+++ b/src/runtime/BrokerLogger.ts
@@ -1,5 +1,5 @@
 /**
- * Passes the log lines of moleculer on to the log of the process.
+ * Forwards the log lines of moleculer to the log of the process.
  */
 
 import { Loggers } from 'moleculer'
@@ -8,7 +8,7 @@
 
 type BrokerLogHandler = (level: string, args: readonly unknown[]) => void
 
-/** What the broker tells about itself is of interest to developers only, so all but its faults goes to debug. */
+/** Errors and warnings keep their level. All other lines are logged at debug level, as they interest developers only. */
 export class BrokerLogger extends Loggers.Base {
   public constructor (private readonly _logger: ILogger) {
     super()
--- a/src/runtime/ChartLoader.ts
+++ b/src/runtime/ChartLoader.ts
@@ -1,5 +1,5 @@
 /**
- * Reads the state charts, which stand at the root of the tree in `charts/`, and compiles them.
+ * Reads the state charts from the folder `charts/` at the root of the project, and compiles them.
  */
 
 import { readFileSync } from 'node:fs'
@@ -11,10 +11,10 @@
 
 export type ChartName = 'shardOwnership' | 'task' | 'attempt'
 
-/** From `dist/src/runtime/` to the root. */
+/** Relative to the compiled file in `dist/src/runtime/`. */
 const CHARTS_URL = new URL('../../../charts/', import.meta.url)
 
-/** Reads and compiles one chart; for the start of a process. */
+/** Reads and compiles one chart. Reads synchronously, so call it only while the process starts. */
 export function loadChart (name: ChartName): Result<ChartTable, InvalidInputError> {
   const read = Result.fromThrowable(
     () => JSON.parse(readFileSync(new URL(`${name}.json`, CHARTS_URL), 'utf8')) as IFlatChart,
--- a/src/runtime/CodeCache.test.ts
+++ b/src/runtime/CodeCache.test.ts
@@ -22,7 +22,7 @@
   return path
 }
 
-test('a script runs with the code that was kept of it', (t) => {
+test('a script runs with its cached code', (t) => {
   const path = scriptIn(t)
   t.true(keepCode(path) > 0)
   const { exported, isCodeKept } = loadScript<IExported>(path)
@@ -31,8 +31,9 @@
   t.is(join(exported.folder, 'script.cjs'), path)
 })
 
-test('code of another script is not taken', (t) => {
-  // The build was broken off between the script and its code. The process would run what nobody has built.
+test('cached code of another version of the script is not used', (t) => {
+  // A build is interrupted after it has written the script and before it has written the cached code. With the old cached
+  // code the process would run another version than the script.
   const path = scriptIn(t)
   keepCode(path)
   writeFileSync(path, SCRIPT.replace('value * 2', 'value * 2000'))
@@ -41,7 +42,7 @@
   t.is(exported.double(21), 42_000)
 })
 
-test('code that can\'t be read costs time only', (t) => {
+test('a script runs without cached code if that is corrupt or missing', (t) => {
   const path = scriptIn(t)
   writeFileSync(`${path}.code`, 'not code')
   t.false(loadScript<IExported>(path).isCodeKept)
--- a/src/runtime/CodeCache.ts
+++ b/src/runtime/CodeCache.ts
@@ -1,8 +1,8 @@
 /**
- * Runs a script with the code that V8 made of it earlier, and keeps that code beside it.
+ * Runs a script with V8's cached code, which is stored in a file beside the script.
  *
- * The load this answers: after a kill, a machine on a third of a core pays its whole start before it takes a caller again.
- * Most of that is reading and compiling libraries, module by module.
+ * The cache shortens the restart of a process after a kill. A machine with a third of a core serves no caller before the process
+ * has started, and most of the start time goes into reading and compiling libraries, module by module.
  */
 
 import { readFileSync, writeFileSync } from 'node:fs'
@@ -10,7 +10,7 @@
 import { dirname } from 'node:path'
 import { Script } from 'node:vm'
 
-/** What a script has given, and whether V8 took the kept code: it takes none of another version or with other flags. */
+/** The exports of a script, and whether V8 accepted the cached code. V8 rejects code of another version or of other flags. */
 export interface ILoadedScript<T> {
   readonly exported: T
   readonly isCodeKept: boolean
@@ -18,39 +18,39 @@
 
 type ModuleFunction = (exported: object, require: NodeJS.Require, self: { exports: object }, filename: string, directory: string) => void
 
-/** Runs the CommonJS script at this path and gives what it exports. */
+/** Runs the CommonJS script at this path, with its cached code if there is any. */
 export function loadScript<T> (path: string): ILoadedScript<T> {
-  const script = compile(path, readKept(path))
-  return { exported: run(script, path) as T, isCodeKept: script.cachedDataRejected === false }
+  const script = compileScript(path, readCachedCode(path))
+  return { exported: runScript(script, path) as T, isCodeKept: script.cachedDataRejected === false }
 }
 
-/** Runs the script once and keeps the code of what ran; gives the number of bytes. */
+/** Runs the script once and writes the compiled code of the functions that ran to the cache file. Returns the number of bytes. */
 export function keepCode (path: string): number {
-  const script = compile(path, undefined)
-  run(script, path)
+  const script = compileScript(path, undefined)
+  runScript(script, path)
   const code = script.createCachedData()
-  writeFileSync(keptPath(path), code)
+  writeFileSync(cachePathOf(path), code)
   return code.length
 }
 
-function keptPath (path: string): string {
+function cachePathOf (path: string): string {
   return `${path}.code`
 }
 
-/** Without kept code the script is compiled anew: slower, not wrong. */
-function readKept (path: string): Buffer | undefined {
+/** Reads the cached code; without it the script is compiled again, which only takes longer. */
+function readCachedCode (path: string): Buffer | undefined {
   try {
-    return readFileSync(keptPath(path))
+    return readFileSync(cachePathOf(path))
   } catch {
     return undefined
   }
 }
 
-function compile (path: string, cachedData: Buffer | undefined): Script {
+function compileScript (path: string, cachedData: Buffer | undefined): Script {
   return new Script(Module.wrap(readFileSync(path, 'utf8')), { filename: path, ...(cachedData === undefined ? {} : { cachedData }) })
 }
 
-function run (script: Script, path: string): object {
+function runScript (script: Script, path: string): object {
   const self: { exports: object } = { exports: {} }
   const moduleFunction = script.runInThisContext() as ModuleFunction
   moduleFunction(self.exports, createRequire(path), self, path, dirname(path))
--- a/src/runtime/ConfigRoutes.ts
+++ b/src/runtime/ConfigRoutes.ts
@@ -13,98 +13,98 @@
 import type { ConfigEditor, EditError, IEditTarget } from './config/ConfigEditor.js'
 import type { IOperatorReply, IOperatorRequest, OperatorHandler, OperatorHandlers } from './OperatorRoutes.js'
 
-/** Which revision of a thing one process decides by. */
+/** The revision of a configuration item that one process applies. */
 export interface IRevisionPlace {
   readonly processId: string
   readonly region: string
-  /** Absent where the process doesn't know the thing or didn't answer. */
+  /** Absent if the process doesn't know the item or didn't answer. */
   readonly revision?: number
-  /** Why it didn't answer. */
+  /** Why the process didn't answer. */
   readonly error?: string
 }
 
-/** Asks every process, this one included. Must not reject. */
-export type AskEverywhere = (kind: ConfigKind, name: string) => Promise<readonly IRevisionPlace[]>
+/** Queries the revision of an item in every process, this one included. Must not reject. */
+export type RevisionQuery = (kind: ConfigKind, name: string) => Promise<readonly IRevisionPlace[]>
 
-interface INamed {
+interface IConfigId {
   readonly kind: ConfigKind
   readonly name: string
 }
 
-type NamedHandler = (thing: INamed, request: IOperatorRequest) => Promise<IOperatorReply>
+type ConfigIdHandler = (id: IConfigId, request: IOperatorRequest) => Promise<IOperatorReply>
 type Edit = (target: IEditTarget, request: IOperatorRequest) => ResultAsync<IConfigEntry, EditError>
 
 export class ConfigRoutes {
   public constructor (
     private readonly _editor: ConfigEditor,
     private readonly _replica: IConfigReplica,
-    private readonly _askEverywhere: AskEverywhere
+    private readonly _queryRevisions: RevisionQuery
   ) {}
 
   public handlers (): OperatorHandlers {
     return {
       configList: request => this._list(request),
-      configGet: named((thing, { query }) => query['source'] === 'replica' ? this._getReplica(thing) : this._get(thing)),
-      configPut: this._edit((target, request) => this._editor.put(target, request.body)),
-      configDelete: this._edit(target => this._editor.delete(target)),
-      configRollback: named((thing, request) => this._rollback(thing, request)),
-      configHistory: named(async ({ kind, name }) => {
+      configGet: withConfigId((id, { query }) => query['source'] === 'replica' ? this._getReplica(id) : this._get(id)),
+      configPut: this._editHandler((target, request) => this._editor.put(target, request.body)),
+      configDelete: this._editHandler(target => this._editor.delete(target)),
+      configRollback: withConfigId((id, request) => this._rollback(id, request)),
+      configHistory: withConfigId(async ({ kind, name }) => {
         const history = await this._editor.history(kind, name)
-        return history.match(entries => okReply({ entries }), faultOf)
+        return history.match(entries => okReply({ entries }), toErrorReply)
       }),
-      configEverywhere: named(async ({ kind, name }) => okReply({ places: await this._askEverywhere(kind, name) }))
+      configEverywhere: withConfigId(async ({ kind, name }) => okReply({ places: await this._queryRevisions(kind, name) }))
     }
   }
 
   private _list ({ params }: IOperatorRequest): IOperatorReply {
     const kind = params['kind'] ?? ''
-    if (!isConfigKind(kind)) return unknownKind(kind)
+    if (!isConfigKind(kind)) return replyUnknownKind(kind)
     const entries = this._replica.entries().filter(entry => entry.kind === kind && !entry.deleted)
     return okReply({ entries: [...entries].sort((a, b) => a.name.localeCompare(b.name)) })
   }
 
-  /** What this process decides by; 404 when it doesn't know the thing. */
-  private async _getReplica ({ kind, name }: INamed): Promise<IOperatorReply> {
+  /** Returns the entry that this process applies; 404 if it doesn't know the item. */
+  private async _getReplica ({ kind, name }: IConfigId): Promise<IOperatorReply> {
     const entry = this._replica.get(kind, name)
     return entry === undefined ? faultReply(404, 'notFound', `there is no ${kind} ${name}`) : okReply({ entry, source: 'replica' })
   }
 
-  /** What the store holds; while it is out of reach, what this process decides by. */
-  private async _get ({ kind, name }: INamed): Promise<IOperatorReply> {
+  /** Returns the entry in the store or, while the store is unreachable, the one that this process applies. */
+  private async _get ({ kind, name }: IConfigId): Promise<IOperatorReply> {
     const stored = await this._editor.current(kind, name)
     const known = stored.isOk() ? stored.value : this._replica.get(kind, name)
     if (known !== undefined) return okReply({ entry: known, source: stored.isOk() ? 'store' : 'replica' })
-    if (stored.isErr()) return faultOf(stored.error)
+    if (stored.isErr()) return toErrorReply(stored.error)
     return faultReply(404, 'notFound', `there is no ${kind} ${name}`)
   }
 
-  private async _rollback (thing: INamed, request: IOperatorRequest): Promise<IOperatorReply> {
+  private async _rollback (id: IConfigId, request: IOperatorRequest): Promise<IOperatorReply> {
     const toRevision = (request.body as { readonly toRevision?: unknown } | undefined)?.toRevision
     if (typeof toRevision !== 'number') {
-      return faultReply(400, 'badRequest', 'send {"toRevision": <revision>} with a revision of the history')
+      return faultReply(400, 'badRequest', 'send {"toRevision": <revision>} with a revision from the history')
     }
-    return await this._run(thing, request, target => this._editor.rollback(target, toRevision))
+    return await this._runEdit(id, request, target => this._editor.rollback(target, toRevision))
   }
 
-  private _edit (edit: Edit): OperatorHandler {
-    return named((thing, request) => this._run(thing, request, edit))
+  private _editHandler (edit: Edit): OperatorHandler {
+    return withConfigId((id, request) => this._runEdit(id, request, edit))
   }
 
-  private async _run (thing: INamed, request: IOperatorRequest, edit: Edit): Promise<IOperatorReply> {
+  private async _runEdit (id: IConfigId, request: IOperatorRequest, edit: Edit): Promise<IOperatorReply> {
     if (request.ifMatch === undefined) {
-      return faultReply(428, 'revisionMissing', 'send the revision that you saw as If-Match, 0 for something new')
+      return faultReply(428, 'revisionMissing', 'send the revision that you edited as If-Match, 0 for a new item')
     }
-    const target = { ...thing, seenRevision: request.ifMatch, writer: request.operator }
+    const target = { ...id, seenRevision: request.ifMatch, writer: request.operator }
     const result = await edit(target, request)
-    return result.match(entry => okReply({ entry }), faultOf)
+    return result.match(entry => okReply({ entry }), toErrorReply)
   }
 }
 
-/** Checks kind and name of the path before the handler runs. */
-function named (handler: NamedHandler): OperatorHandler {
+/** Checks the kind and the name in the path before the handler runs. */
+function withConfigId (handler: ConfigIdHandler): OperatorHandler {
   return async request => {
     const { kind = '', name = '' } = request.params
-    if (!isConfigKind(kind)) return unknownKind(kind)
+    if (!isConfigKind(kind)) return replyUnknownKind(kind)
     if (!isConfigName(name)) {
       return faultReply(400, 'invalid', `name must be 1 to 63 lower-case letters, digits, dots, dashes or underscores, not ${JSON.stringify(name)}`)
     }
@@ -112,18 +112,18 @@
   }
 }
 
-function unknownKind (kind: string): IOperatorReply {
+function replyUnknownKind (kind: string): IOperatorReply {
   return faultReply(404, 'unknownKind', `there is no kind ${JSON.stringify(kind)}; the kinds are ${CONFIG_KINDS.join(', ')}`)
 }
 
-function faultOf (error: EditError): IOperatorReply {
+function toErrorReply (error: EditError): IOperatorReply {
   if (error instanceof ConfigConflictError) {
-    return faultReply(409, 'conflict', `${error.message}; look at the current one and edit again`, { current: error.current })
+    return faultReply(409, 'conflict', `${error.message}; edit the current revision instead`, { current: error.current })
   }
   if (error instanceof ConfigInvalidError) return faultReply(400, 'invalid', `${error.peer} is not accepted: ${error.summary}`, { problems: error.problems })
   if (error instanceof InvalidInputError) return faultReply(400, 'invalid', error.message)
   if (error instanceof AmbiguousError) {
-    return faultReply(504, 'unconfirmed', `${error.message}; get it again to see whether the change is in force`)
+    return faultReply(504, 'unconfirmed', `${error.message}; read the item again to see whether the change is in force`)
   }
   return faultReply(503, 'storeUnavailable', `${error.message}; nothing was changed, try again later`)
 }
--- a/src/runtime/DumpOnSignal.ts
+++ b/src/runtime/DumpOnSignal.ts
@@ -1,6 +1,5 @@
 /**
- * Writes the state dump into the log when the process gets SIGUSR2, for the case that its operator listener doesn't
- * answer.
+ * Writes the state dump to the log when the process receives SIGUSR2, for processes whose operator listener doesn't respond.
  */
 
 import type { DumpRegistry } from '../common/observability/DumpRegistry.js'
@@ -10,7 +9,7 @@
 const SIGNAL = 'SIGUSR2'
 
 export class DumpOnSignal implements IDisposable {
-  private readonly _listener = () => this._write()
+  private readonly _listener = () => this._writeDump()
 
   public constructor (private readonly _registry: DumpRegistry, private readonly _logger: ILogger) {
     process.on(SIGNAL, this._listener)
@@ -20,7 +19,7 @@
     process.off(SIGNAL, this._listener)
   }
 
-  private _write (): void {
+  private _writeDump (): void {
     for (const section of this._registry.names()) {
       this._logger.warn('process.dump', { section, state: JSON.stringify(this._registry.dump(section)?.[section]) })
     }
--- a/src/runtime/HostCommand.ts
+++ b/src/runtime/HostCommand.ts
@@ -1,5 +1,5 @@
 /**
- * Commands to upstream hosts, in JSON, and how hosts say that a command took no effect.
+ * Sends commands to upstream hosts as JSON, and recognizes the responses by which a host says that a command had no effect.
  */
 
 import { err } from 'neverthrow'
@@ -8,7 +8,7 @@
 import type { Dispatcher } from 'undici'
 import type * as z from 'zod'
 import { AmbiguousError, FencedError, RefusedError } from '../common/Errors.js'
-import { parseAnswer } from './Answers.js'
+import { parseResponse } from './Answers.js'
 import { exchange } from './HttpExchange.js'
 
 import type { IHttpResponse, IHttpRequest } from './HttpExchange.js'
@@ -20,11 +20,11 @@
   readonly peer: string
   readonly path: string
   /** Sent as JSON. */
-  readonly ask: object
+  readonly body: object
   readonly timeoutMs: number
 }
 
-type Named = Pick<IHttpRequest, 'step' | 'peer'>
+type CallContext = Pick<IHttpRequest, 'step' | 'peer'>
 
 const JSON_HEADERS = ['content-type', 'application/json']
 const REFUSED_HEADER = 'x-refused'
@@ -33,29 +33,29 @@
 const FIRST_ERROR_STATUS = 400
 const FIRST_SERVER_ERROR_STATUS = 500
 
-/** Sends a command and gives the host's status. */
+/** Sends a command and returns the status of the host. */
 export function sendCommand<T> (dispatcher: Dispatcher, command: IHostCommand, schema: z.ZodType<T>): ResultAsync<T, UpstreamError> {
   const { step, peer, path, timeoutMs } = command
-  const ask: IHttpRequest = { step, peer, method: 'POST', path, headers: JSON_HEADERS, body: JSON.stringify(command.ask), timeoutMs }
-  return exchange(dispatcher, ask).andThen((answer) => takeStatus(ask, answer, schema))
+  const request: IHttpRequest = { step, peer, method: 'POST', path, headers: JSON_HEADERS, body: JSON.stringify(command.body), timeoutMs }
+  return exchange(dispatcher, request).andThen((response) => parseStatus(request, response, schema))
 }
 
 /**
- * The refusal that an answer states, or nothing if the command was taken. The header `x-refused` is the host's own
- * word; a status alone is not, because a service may answer 409 or 503 after it has run.
+ * The refusal in a response; `undefined` if the host accepted the command. Only the header `x-refused` proves that the host
+ * refused. The HTTP status does not, because a service may respond with 409 or 503 after it has run.
  */
-export function statedRefusal (ask: Named, answer: IHttpResponse): RefusedError | FencedError | undefined {
-  const refused = answer.headers[REFUSED_HEADER]
+export function parseRefusal (request: CallContext, response: IHttpResponse): RefusedError | FencedError | undefined {
+  const refused = response.headers[REFUSED_HEADER]
   if (refused === undefined) return undefined
-  if (refused === FENCED) return new FencedError(ask.step, ask.peer, Number(answer.headers[EPOCH_HEADER]))
-  return new RefusedError(ask.step, ask.peer, String(refused))
+  if (refused === FENCED) return new FencedError(request.step, request.peer, Number(response.headers[EPOCH_HEADER]))
+  return new RefusedError(request.step, request.peer, String(refused))
 }
 
-function takeStatus<T> (ask: Named, answer: IHttpResponse, schema: z.ZodType<T>): Result<T, UpstreamError> {
-  const refusal = statedRefusal(ask, answer)
+function parseStatus<T> (request: CallContext, response: IHttpResponse, schema: z.ZodType<T>): Result<T, UpstreamError> {
+  const refusal = parseRefusal(request, response)
   if (refusal !== undefined) return err(refusal)
-  const what = `status ${answer.status}`
-  if (answer.status >= FIRST_SERVER_ERROR_STATUS) return err(new AmbiguousError(ask.step, ask.peer, what))
-  if (answer.status >= FIRST_ERROR_STATUS) return err(new RefusedError(ask.step, ask.peer, what))
-  return parseAnswer(schema, answer.body).mapErr((problem) => new AmbiguousError(ask.step, ask.peer, problem))
+  const reason = `status ${response.status}`
+  if (response.status >= FIRST_SERVER_ERROR_STATUS) return err(new AmbiguousError(request.step, request.peer, reason))
+  if (response.status >= FIRST_ERROR_STATUS) return err(new RefusedError(request.step, request.peer, reason))
+  return parseResponse(schema, response.body).mapErr((problem) => new AmbiguousError(request.step, request.peer, problem))
 }
--- a/src/runtime/HostListClient.test.ts
+++ b/src/runtime/HostListClient.test.ts
@@ -1,5 +1,5 @@
 /**
- * The host list's client against the stand-in.
+ * Tests the client of the host list against the stand-in.
  */
 
 import test from 'ava'
@@ -9,24 +9,24 @@
 import { eventually } from '../../test/support/Eventually.js'
 import { HostListClient } from './HostListClient.js'
 
-test('lists hosts, after the lag, and skips malformed ones', async (t) => {
+test('lists hosts after the lag of the list, and skips malformed records', async (t) => {
   const hostList = await startHostList(t, 50)
   const client = new HostListClient({ url: hostList.url, callTimeoutMs: 2000 })
   t.teardown(() => { client.dispose() })
   const host = hostAt('http://127.0.0.1:1')
   hostList.standIn.control({ put: [host, { hostId: 'broken' }] })
-  const hosts = await eventually('the host shows up', async () => {
+  const hosts = await eventually('the host is listed', async () => {
     const listed = (await client.list())._unsafeUnwrap()
     return listed.length > 0 && listed
   })
   t.deepEqual(hosts, [host])
   t.is(client.malformedRecords, 1)
   hostList.standIn.control({ state: { [host.hostId]: 'leaving' } })
-  await eventually('it leaves', async () => (await client.list())._unsafeUnwrap()[0]?.state === 'leaving')
+  await eventually('the host is leaving', async () => (await client.list())._unsafeUnwrap()[0]?.state === 'leaving')
 })
 
-test('a list that is down is an error, not an empty list', async (t) => {
-  // The host list fails for a while. An empty list in its place would take every host out of use at once.
+test('an unavailable host list is an error, not an empty list', async (t) => {
+  // The host list fails for a while. If the client returned an empty list instead, every host would be taken out of use.
   const hostList = await startHostList(t, 0)
   const client = new HostListClient({ url: hostList.url, callTimeoutMs: 2000 })
   t.teardown(() => { client.dispose() })
@@ -37,7 +37,8 @@
 })
 
 test('a host whose record becomes malformed is still listed', async (t) => {
-  // The platform writes one bad record. Taken for gone, the host's tasks would be started elsewhere while they run there.
+  // The platform writes a malformed record. If the host counted as gone, its tasks would be started on another host while
+  // they still run on this one.
   const hostList = await startHostList(t, 0)
   const client = new HostListClient({ url: hostList.url, callTimeoutMs: 2000 })
   t.teardown(() => { client.dispose() })
--- a/src/runtime/HostListClient.ts
+++ b/src/runtime/HostListClient.ts
@@ -1,5 +1,5 @@
 /**
- * The platform's host list over HTTP.
+ * Client of the platform's host list over HTTP.
  */
 
 import { err, ok } from 'neverthrow'
@@ -7,7 +7,7 @@
 
 import type { Result, ResultAsync } from 'neverthrow'
 import { UnreachableError } from '../common/Errors.js'
-import { hostListAnswer, hostRecord, namedHost, parseAnswer } from './Answers.js'
+import { hostListResponse, hostRecord, hostIdentity, parseResponse } from './Answers.js'
 import { exchange } from './HttpExchange.js'
 
 import type { IDisposable } from '../common/Types.js'
@@ -27,22 +27,22 @@
 export class HostListClient implements IHostList, IDisposable {
   private readonly _client: Client
   private _malformedRecords = 0
-  private _known: ReadonlyMap<string, IHostRecord> = new Map()
+  private _lastRecords: ReadonlyMap<string, IHostRecord> = new Map()
 
   public constructor (private readonly _options: IHostListClientOptions) {
     this._client = new Client(_options.url, { headersTimeout: 0, bodyTimeout: 0, connectTimeout: _options.callTimeoutMs })
   }
 
-  /** Malformed records that the last answer contained, for the dump. */
+  /** The number of malformed records in the last response, for the state dump. */
   public get malformedRecords (): number {
     return this._malformedRecords
   }
 
   public list (): ResultAsync<readonly IHostRecord[], StoreError> {
-    const ask = { step: STEP, peer: PEER, method: 'GET', path: '/hosts', headers: [], timeoutMs: this._options.callTimeoutMs } as const
-    return exchange(this._client, ask)
+    const request = { step: STEP, peer: PEER, method: 'GET', path: '/hosts', headers: [], timeoutMs: this._options.callTimeoutMs } as const
+    return exchange(this._client, request)
       .mapErr((error) => new UnreachableError(STEP, PEER, error.message, { cause: error }))
-      .andThen((answer) => this._records(answer))
+      .andThen((response) => this._parseRecords(response))
   }
 
   public dispose (): void {
@@ -50,24 +50,24 @@
   }
 
   /**
-   * Of a malformed record, the last good one of the same host stands. One bad entry must not hide all other hosts, nor
-   * make its own host look gone: what runs there would be started elsewhere while it still runs.
+   * Replaces a malformed record by the last valid one of the same host. A malformed record must not hide the other hosts.
+   * It must not make its own host look gone either, because the host's tasks would be started elsewhere while they still run.
    */
-  private _records (answer: IHttpResponse): Result<readonly IHostRecord[], StoreError> {
-    if (answer.status !== STATUS_OK) return err(new UnreachableError(STEP, PEER, `status ${answer.status}`))
-    return parseAnswer(hostListAnswer, answer.body)
-      .mapErr((what) => new UnreachableError(STEP, PEER, what))
+  private _parseRecords (response: IHttpResponse): Result<readonly IHostRecord[], StoreError> {
+    if (response.status !== STATUS_OK) return err(new UnreachableError(STEP, PEER, `status ${response.status}`))
+    return parseResponse(hostListResponse, response.body)
+      .mapErr((reason) => new UnreachableError(STEP, PEER, reason))
       .andThen(({ hosts }) => {
         const parsed = hosts.map((host) => hostRecord.safeParse(host))
         this._malformedRecords = parsed.filter((record) => !record.success).length
-        const records = hosts.map((host, index) => parsed[index]?.data ?? this._lastGood(host)).filter((record) => record !== undefined)
-        this._known = new Map(records.map((record) => [record.hostId, record]))
+        const records = hosts.map((host, index) => parsed[index]?.data ?? this._findLastRecord(host)).filter((record) => record !== undefined)
+        this._lastRecords = new Map(records.map((record) => [record.hostId, record]))
         return ok(records)
       })
   }
 
-  private _lastGood (host: unknown): IHostRecord | undefined {
-    const named = namedHost.safeParse(host)
-    return named.success ? this._known.get(named.data.hostId) : undefined
+  private _findLastRecord (host: unknown): IHostRecord | undefined {
+    const identity = hostIdentity.safeParse(host)
+    return identity.success ? this._lastRecords.get(identity.data.hostId) : undefined
   }
 }
--- a/src/runtime/HttpListener.ts
+++ b/src/runtime/HttpListener.ts
@@ -1,6 +1,6 @@
 /**
- * One HTTP listener with its limits. moleculer-web can listen by itself, but waits for ever when the address is taken;
- * here that is an error that the process can report.
+ * An HTTP listener with limits. moleculer-web could listen itself, but it waits forever if the address is already in use;
+ * this class returns an error, which the process can report.
  */
 
 import { createServer } from 'node:http'
@@ -22,7 +22,7 @@
   readonly requestTimeoutMs: number
 }
 
-/** How often slow senders are looked for, per time that they are allowed. */
+/** How many times the server checks for slow clients within the time that a client has for its headers. */
 const CHECKS_PER_TIMEOUT = 2
 
 export class HttpListener {
@@ -39,21 +39,21 @@
     this._server.maxConnections = limits.maxConnections
   }
 
-  /** Binds, and gives the base URL with the port that was taken. */
+  /** Binds the address and returns the base URL with the actual port. */
   public listen (address: IListenAddress): ResultAsync<string, UnreachableError> {
     return new ResultAsync(this._listen(address))
   }
 
-  /** Takes no new connections, and cuts those that are still open after `graceMs`. */
+  /** Stops accepting connections, and closes those that are still open after `graceMs`. */
   public async close (graceMs: number): Promise<void> {
-    const cut = setTimeout(() => this._server.closeAllConnections(), graceMs)
+    const closeTimer = setTimeout(() => this._server.closeAllConnections(), graceMs)
     await new Promise<void>(resolve => { this._server.close(() => resolve()) })
-    clearTimeout(cut)
+    clearTimeout(closeTimer)
   }
 
   private async _listen (address: IListenAddress): Promise<Result<string, UnreachableError>> {
     return await new Promise(resolve => {
-      const failed = (cause: Error) => resolve(err(notBound(address, cause)))
+      const failed = (cause: Error) => resolve(err(toListenError(address, cause)))
       this._server.once('error', failed)
       this._server.listen(address.port, address.ip, () => {
         this._server.off('error', failed)
@@ -68,6 +68,6 @@
   return `http://${ip}:${address.port}`
 }
 
-function notBound ({ ip, port }: IListenAddress, cause: Error): UnreachableError {
+function toListenError ({ ip, port }: IListenAddress, cause: Error): UnreachableError {
   return new UnreachableError('http.listen', `${ip}:${port}`, cause.message, { cause })
 }
--- a/src/runtime/KeyValueClient.test.ts
+++ b/src/runtime/KeyValueClient.test.ts
@@ -1,5 +1,5 @@
 /**
- * The store's client against the stand-in, through lost answers, outages and forgotten history.
+ * Tests the client of the key-value service against the stand-in, with lost responses, outages and a truncated history.
  */
 
 import test from 'ava'
@@ -21,8 +21,8 @@
   return client
 }
 
-/** Keeps what a watcher would believe the store to hold. */
-class Follower implements IStoreWatchListener {
+/** Replicates the store's contents from the calls of a watch. */
+class WatchReplica implements IStoreWatchListener {
   public readonly values = new Map<string, string>()
   public readonly reachable: boolean[] = []
   public resets = 0
@@ -49,7 +49,7 @@
   return (store.dump() as { waitingWatches: number }).waitingWatches
 }
 
-test('swaps by revision, and tells the loser of a race', async (t) => {
+test('a compare-and-swap with an old revision is a conflict', async (t) => {
   const store = await startStore(t)
   const client = clientOf(t, store.url)
   const first = (await client.compareAndSwap('profiles/a', 0, 'one'))._unsafeUnwrap()
@@ -63,7 +63,7 @@
   t.is(client.callCount, 8)
 })
 
-test('a key goes with its lease, and a lapsed lease refuses to be kept alive', async (t) => {
+test('a key is removed with its lease, and an expired lease can\'t be renewed', async (t) => {
   const store = await startStore(t)
   const client = clientOf(t, store.url)
   const leaseId = (await client.grantLease(60_000))._unsafeUnwrap()
@@ -74,9 +74,9 @@
   t.is((await client.keepAlive(leaseId))._unsafeUnwrapErr().constructor, RefusedError)
 })
 
-test('a write whose answer is lost is ambiguous, and has taken effect', async (t) => {
-  // The store applies a profile and its answer is lost on the way. Taken for a failure, an operator would be told that
-  // the change was not made while it is in force.
+test('a write whose response is lost is ambiguous, and has taken effect', async (t) => {
+  // The store applies the change of a profile and its response is lost. If the write counted as failed, the operator would
+  // be told that the change was not made, although it is in force.
   const store = await startStore(t)
   store.standIn.control({ loseAnswers: 1 })
   const client = clientOf(t, store.url)
@@ -84,9 +84,9 @@
   t.is((await client.get('profiles/a'))._unsafeUnwrap()?.value, 'one')
 })
 
-test('an outage is told by its kind', async (t) => {
-  // The store refuses connections: nothing can have taken effect, and the writer may say so. Where it hangs or cuts
-  // the connection, a write may have taken effect and a read never does.
+test('the error of a call depends on the kind of the outage', async (t) => {
+  // If the store refuses connections, a write has not taken effect for certain. If the store hangs or closes the connection,
+  // a write may have taken effect; a read never has an effect.
   const store = await startStore(t)
   const client = clientOf(t, store.url, 100)
   store.standIn.control({ outage: 'refuse' })
@@ -102,7 +102,7 @@
   t.true(client.reachable)
 })
 
-test('beyond its rate the store refuses, and nothing takes effect', async (t) => {
+test('writes beyond the rate limit of the store are refused', async (t) => {
   const store = await startStore(t)
   store.standIn.control({ writesPerSecond: 1 })
   const client = clientOf(t, store.url)
@@ -115,18 +115,18 @@
 })
 
 for (const outage of ['refuse', 'reset', 'hang']) {
-  test(`a watch goes on after an outage: ${outage}`, async (t) => {
-    // The store is gone for a while and an operator changes a profile just after it comes back. A watch that doesn't
-    // go on by itself leaves this process on the old profile for good.
+  test(`a watch continues after an outage: ${outage}`, async (t) => {
+    // The store is unavailable for a while, and an operator changes a profile just after it is available again. If the watch
+    // did not continue, this process would keep the old profile.
     const store = await startStore(t)
     const client = clientOf(t, store.url, 100)
     const writer = clientOf(t, store.url)
-    const follower = new Follower()
+    const follower = new WatchReplica()
     const watch = client.watch('profiles/', 0, follower)
     t.true((await writer.compareAndSwap('profiles/a', 0, 'one')).isOk())
     await eventually('the first change', () => follower.values.get('profiles/a') === 'one')
     store.standIn.control({ outage })
-    await eventually('the outage is seen', async () => {
+    await eventually('the outage is detected', async () => {
       await client.get('profiles/a')
       return follower.reachable.includes(false)
     })
@@ -136,42 +136,42 @@
     await eventually('the second change', () => follower.values.get('profiles/a') === 'two')
     t.deepEqual(follower.reachable, [false, true])
     watch.dispose()
-    await eventually('no watch waits', () => waitingWatches(store.standIn) === 0)
+    await eventually('no watch is waiting', () => waitingWatches(store.standIn) === 0)
   })
 }
 
-test('a watch whose history is gone starts over from the whole range', async (t) => {
-  // A process is cut off for long while many profiles change and one is deleted. Had it only the changes that the
-  // store still remembers, it would keep the deleted profile in force.
+test('a watch whose history is gone reads the whole range again', async (t) => {
+  // A process is disconnected for a long time, while many profiles change and one is deleted. With only the changes that
+  // the store still has, the process would keep applying the deleted profile.
   const store = await startStore(t)
   store.standIn.control({ historyLength: 2 })
   const writer = clientOf(t, store.url)
   const gone = (await writer.compareAndSwap('profiles/gone', 0, 'x'))._unsafeUnwrap()
-  const follower = new Follower()
+  const follower = new WatchReplica()
   follower.values.set('profiles/gone', 'x')
   t.true((await writer.compareAndSwap('profiles/gone', gone, undefined)).isOk())
   for (let index = 0; index < 6; index += 1) {
     t.true((await writer.compareAndSwap(`profiles/${index}`, 0, 'x')).isOk())
   }
   clientOf(t, store.url).watch('profiles/', gone, follower)
-  await eventually('the range', () => follower.resets === 1)
+  await eventually('the range is read', () => follower.resets === 1)
   t.is(follower.values.size, 6)
   t.false(follower.values.has('profiles/gone'))
   t.true((await writer.compareAndSwap('profiles/late', 0, 'x')).isOk())
-  await eventually('later changes', () => follower.values.has('profiles/late'))
+  await eventually('later changes are seen', () => follower.values.has('profiles/late'))
 })
 
-test('a watch of a store that has lost its past starts over', async (t) => {
-  // The platform restores its store from an older copy, whose revisions count from below ours. A watch that waits for
-  // a revision above its last one would stay silent until the store has caught up.
+test('a watch reads the whole range again after the store is restored from an older copy', async (t) => {
+  // The revisions of the older copy are below the last revision that the watch has seen. A watch that waits for a higher
+  // revision would report no changes until the store has reached that revision.
   const store = await startStore(t)
-  const follower = new Follower()
+  const follower = new WatchReplica()
   const client = clientOf(t, store.url)
   client.watch('profiles/', 1000, follower)
-  await eventually('the watch waits', () => waitingWatches(store.standIn) === 1)
+  await eventually('the watch is waiting', () => waitingWatches(store.standIn) === 1)
   t.true((await clientOf(t, store.url).compareAndSwap('profiles/a', 0, 'one')).isOk())
   store.server.cut()
   await eventually('the watch polls again', () => waitingWatches(store.standIn) === 1)
   t.true((await client.compareAndSwap('profiles/b', 0, 'one')).isOk())
-  await eventually('the range', () => follower.values.size === 2)
+  await eventually('the range is read', () => follower.values.size === 2)
 })
--- a/src/runtime/LogWriter.test.ts
+++ b/src/runtime/LogWriter.test.ts
@@ -1,5 +1,5 @@
 /**
- * A process whose log nobody reads.
+ * Tests the log output of a process, also while no program reads it.
  */
 
 import test from 'ava'
@@ -12,7 +12,7 @@
 
 const LOGGER_URL = new URL('./Logger.js', import.meta.url).href
 const CLOCK_URL = new URL('../common/Clock.js', import.meta.url).href
-/** 400 turns of 500 lines are 40 MB, many times what may wait. */
+/** 400 turns of 500 lines are 40 MB, many times the limit of waiting lines. */
 const TURNS = 400
 const LINES_A_TURN = 500
 const MAX_GROWTH_BYTES = 15_000_000
@@ -26,9 +26,9 @@
   return spawn(process.execPath, args, { cwd: fileURLToPath(new URL('.', import.meta.url)) })
 }
 
-test('a process whose log nobody reads goes on, keeps little of it, and ends', async (t) => {
-  // The collector of a machine hangs. What waits for it would fill the memory of its controller, which is killed, starts anew and
-  // is killed again, while its callers are sent away.
+test('a process whose log is not read keeps running with bounded memory, and exits', async (t) => {
+  // The log collector of a machine hangs. Without a limit, waiting lines fill the memory of the controller until it is killed,
+  // again and again, and its callers are refused.
   const child = startLogging(`
     const used = () => { gc(); const { heapUsed, external } = process.memoryUsage(); return heapUsed + external }
     const before = used()
@@ -46,7 +46,7 @@
   child.stdout.destroy()
 })
 
-test('the last lines before the end of the process are written', async (t) => {
+test('the last lines before the exit of the process are written', async (t) => {
   const child = startLogging(`
     for (let i = 0; i < 5; i += 1) log.info('a.line', { number: i })
     process.exit(0)`)
@@ -54,14 +54,15 @@
   t.deepEqual(lines.map((line) => line.number), [0, 1, 2, 3, 4])
 })
 
-test('lines go out whole, in pieces that a pipe takes at once', (t) => {
-  // Several processes may write to one collector. Lines in a larger piece would be cut by those of others, and could not be read.
+test('whole lines are written in chunks that a pipe accepts at once', (t) => {
+  // Several processes may write to one collector. In a larger chunk, lines of other processes could split a line, which would then
+  // be unreadable.
   const clock = new ManualClock()
-  const pieces: string[] = []
-  const writer = new LogWriter(clock, { writableLength: 0, write: (text) => pieces.push(text) > 0 })
+  const chunks: string[] = []
+  const writer = new LogWriter(clock, { writableLength: 0, write: (text) => chunks.push(text) > 0 })
   for (let number = 0; number < 100; number += 1) writer.write(`${String(number).padStart(199, ' ')}\n`)
   clock.advance(50)
   writer.dispose()
-  t.true(pieces.every((piece) => piece.length <= 4096 && piece.endsWith('\n')))
-  t.is(pieces.join('').split('\n').length, 101)
+  t.true(chunks.every((chunk) => chunk.length <= 4096 && chunk.endsWith('\n')))
+  t.is(chunks.join('').split('\n').length, 101)
 })
--- a/src/runtime/LogWriter.ts
+++ b/src/runtime/LogWriter.ts
@@ -1,53 +1,53 @@
 /**
- * Writes log lines to standard output, and keeps little where nobody reads them.
+ * Writes log lines to standard output, and bounds the memory of lines that are not read.
  *
- * Node queues what a pipe doesn't take: with a collector that hangs, one would see the process grow until it is killed, start
- * anew and be killed again. Here what doesn't fit is left out and counted. Gathered for a moment, lines also cost
- * few system calls instead of one each.
+ * Node queues what a pipe doesn't accept. If the log collector hangs, the process would grow until it is killed, restart and
+ * be killed again. This class drops and counts the lines over its limit. It also collects lines for a short time, so that
+ * several lines share one system call.
  */
 
 import type { IDisposable, ITimers } from '../common/Types.js'
 
-/** Lines gather for this long, in ms: short beside what anybody reads, long beside the time between two lines of a busy owner. */
-const GATHER_MS = 50
-/** A pipe takes so many bytes in one piece, so that lines of several writers on it stay whole; in characters of mostly ASCII. */
-const PIECE_CHARS = 4000
-/** Kept while nobody reads, in characters: some seconds of a busy owner's lines, under a hundredth of its memory. */
+/** How long lines are collected, in ms: too short for a reader to notice, and longer than the time between two lines of a busy owner. */
+const BATCH_MS = 50
+/** A pipe accepts this much in one write, so that lines of several writers are not mixed; in characters, mostly ASCII. */
+const MAX_CHUNK_CHARS = 4000
+/** The limit of unread lines, in characters: some seconds of a busy owner's lines, and less than a hundredth of its memory. */
 const MAX_WAITING_CHARS = 1_000_000
 
-/** What of a stream is used here. */
+/** The part of a stream that `LogWriter` uses. */
 export interface ILogOutput {
   readonly writableLength: number
   write (text: string): boolean
 }
 
 export class LogWriter implements IDisposable {
-  private _gathered: string[] = []
-  private _gatheredChars = 0
-  private _leftOut = 0
+  private _waiting: string[] = []
+  private _waitingChars = 0
+  private _droppedLines = 0
   private readonly _onExit = (): void => { this._flush() }
 
   public constructor (private readonly _timers: ITimers, private readonly _output: ILogOutput = process.stdout) {
     process.on('exit', this._onExit)
   }
 
-  /** Lines that had no room, so far. */
-  public get leftOut (): number {
-    return this._leftOut
+  /** The number of lines dropped so far. */
+  public get droppedLines (): number {
+    return this._droppedLines
   }
 
   public get hasRoom (): boolean {
-    return this._gatheredChars + this._output.writableLength < MAX_WAITING_CHARS
+    return this._waitingChars + this._output.writableLength < MAX_WAITING_CHARS
   }
 
   public write (line: string): void {
     if (!this.hasRoom) {
-      this._leftOut += 1
+      this._droppedLines += 1
       return
     }
-    if (this._gathered.length === 0) this._timers.after(GATHER_MS, () => { this._flush() })
-    this._gathered.push(line)
-    this._gatheredChars += line.length
+    if (this._waiting.length === 0) this._timers.after(BATCH_MS, () => { this._flush() })
+    this._waiting.push(line)
+    this._waitingChars += line.length
   }
 
   public dispose (): void {
@@ -56,16 +56,16 @@
   }
 
   private _flush (): void {
-    let piece = ''
-    for (const line of this._gathered) {
-      if (piece !== '' && piece.length + line.length > PIECE_CHARS) {
-        this._output.write(piece)
-        piece = ''
+    let chunk = ''
+    for (const line of this._waiting) {
+      if (chunk !== '' && chunk.length + line.length > MAX_CHUNK_CHARS) {
+        this._output.write(chunk)
+        chunk = ''
       }
-      piece += line
+      chunk += line
     }
-    if (piece !== '') this._output.write(piece)
-    this._gathered = []
-    this._gatheredChars = 0
+    if (chunk !== '') this._output.write(chunk)
+    this._waiting = []
+    this._waitingChars = 0
   }
 }
--- a/src/runtime/Logger.test.ts
+++ b/src/runtime/Logger.test.ts
@@ -11,7 +11,7 @@
   return { clock, logger, parsed: () => lines.map(line => JSON.parse(line) as Record<string, unknown>) }
 }
 
-test('writes one JSON line with level, time, process, event and the place of an error', t => {
+test('writes one JSON line with level, time, process, event and the step of an error', t => {
   const { logger, parsed } = setUp()
   logger.debug('not.written')
   logger.warn('store.unreachable', { durationMs: 12, ...errorFields(new RefusedError('store.get', '127.0.0.1:1', 'no')) })
@@ -34,9 +34,9 @@
   t.false(JSON.stringify(parsed()).match(/abc|def/) !== null)
 })
 
-// Every request fails the same way for a while and each failure is logged. An operator who looks finds the lines of
-// one event capped each second, other events untouched, and the number that was left out.
-test('caps the lines of one event and tells how many were left out', t => {
+// Every request fails the same way for a while, and each failure is logged. The lines of this event are limited each second
+// and the suppressed ones are counted; other events are not affected.
+test('limits the lines of one event and reports how many were suppressed', t => {
   const { clock, logger, parsed } = setUp()
   for (let i = 0; i < 100; i++) logger.warn('request.failed')
   logger.warn('other')
--- a/src/runtime/MetricsServer.ts
+++ b/src/runtime/MetricsServer.ts
@@ -1,7 +1,7 @@
 /**
- * The metrics address of a controller: counters and histograms as text, and the state dump as JSON. moleculer and its
- * HTTP service are loaded with the first request: they take 220 ms of processor and 37 MiB, which a process that
- * has just been killed and must take over a cell would rather spend on that.
+ * The metrics server of a controller: counters and histograms as text, and the state dump as JSON. moleculer and its HTTP
+ * service are loaded with the first request. They take 220 ms of processor time and 37 MiB, which would delay a process that
+ * was just restarted and must take over a cell.
  */
 
 import { HttpListener } from './HttpListener.js'
@@ -30,7 +30,7 @@
 
   public constructor (private readonly _processId: string, private readonly _sources: IMetricsSources, private readonly _log: ILogger) {
     this._listener = new HttpListener(LIMITS, (request, response) => {
-      this._handler ??= this._load()
+      this._handler ??= this._loadHandler()
       this._handler.then((handler) => { handler(request, response) }, (error: unknown) => {
         this._log.error('metrics.failed', { reason: String(error) })
         response.writeHead(500).end()
@@ -47,7 +47,7 @@
     await this._broker?.stop()
   }
 
-  private async _load (): Promise<RequestListener> {
+  private async _loadHandler (): Promise<RequestListener> {
     const [{ createBroker }, { default: ApiGateway }] = await Promise.all([import('./Broker.js'), import('moleculer-web')])
     const broker = createBroker(this._processId, this._log)
     this._broker = broker
--- a/src/runtime/NodeReadings.ts
+++ b/src/runtime/NodeReadings.ts
@@ -1,14 +1,14 @@
 /**
- * Processor time and memory of this process, as the runtime tells them.
+ * Reads the processor time and the memory of this process from Node.js.
  */
 
 import type { IProcessReadings } from '../common/observability/Types.js'
 
-/** What the parts of the process count themselves. */
+/** Readings that components of the process count themselves. */
 export type IControlReadings = Omit<IProcessReadings, 'processorMicros' | 'residentBytes'>
 
 export class NodeReadings implements IProcessReadings {
-  public constructor (private readonly _control: IControlReadings) {}
+  public constructor (private readonly _controlReadings: IControlReadings) {}
 
   public processorMicros (): number {
     const { user, system } = process.cpuUsage()
@@ -20,18 +20,18 @@
   }
 
   public peerSentBytes (): number {
-    return this._control.peerSentBytes()
+    return this._controlReadings.peerSentBytes()
   }
 
   public peerReceivedBytes (): number {
-    return this._control.peerReceivedBytes()
+    return this._controlReadings.peerReceivedBytes()
   }
 
   public crossRegionSentBytes (): number {
-    return this._control.crossRegionSentBytes()
+    return this._controlReadings.crossRegionSentBytes()
   }
 
   public storeCalls (): number {
-    return this._control.storeCalls()
+    return this._controlReadings.storeCalls()
   }
 }
--- a/src/runtime/OperatorRoutes.ts
+++ b/src/runtime/OperatorRoutes.ts
@@ -1,5 +1,5 @@
 /**
- * The operators' HTTP interface as a table: names, methods and paths. Each process answers those that concern it.
+ * The routes of the operators' HTTP interface: names, methods and paths. Each process handles those that concern it.
  */
 
 export const OPERATOR_ROUTES = {
@@ -23,14 +23,14 @@
 export type OperatorRouteName = keyof typeof OPERATOR_ROUTES
 
 export interface IOperatorRequest {
-  /** From the path. */
+  /** Parameters in the path. */
   readonly params: Readonly<Record<string, string>>
-  /** From the query string; a parameter that stands twice is left out. */
+  /** Parameters in the query string, without those that occur more than once. */
   readonly query: Readonly<Record<string, string>>
   readonly body: unknown
   /** The revision in `If-Match`, if there is one. */
   readonly ifMatch: number | undefined
-  /** Who asks, as they say themselves in `x-jackdawreel-operator`. */
+  /** The operator's name from the header `x-jackdawreel-operator`; it is not verified. */
   readonly operator: string
 }
 
@@ -41,14 +41,14 @@
 
 export type OperatorHandler = (request: IOperatorRequest) => IOperatorReply | Promise<IOperatorReply>
 
-/** What one process answers. */
+/** The handlers of the routes that one process serves. */
 export type OperatorHandlers = Readonly<Partial<Record<OperatorRouteName, OperatorHandler>>>
 
-/** The body of every answer other than 2xx. */
-export interface IOperatorFault {
-  /** A word for programs, for example `conflict`. */
+/** The body of every response with a status other than 2xx. */
+export interface IOperatorError {
+  /** An error code for programs, for example `conflict`. */
   readonly error: string
-  /** One sentence for people that says what to do. */
+  /** A sentence for operators that says what to do. */
   readonly message: string
 }
 
@@ -58,5 +58,5 @@
 
 /** @param more further fields for programs */
 export function faultReply (status: number, error: string, message: string, more: object = {}): IOperatorReply {
-  return { status, value: { error, message, ...more } satisfies IOperatorFault }
+  return { status, value: { error, message, ...more } satisfies IOperatorError }
 }
--- a/src/runtime/OperatorServer.test.ts
+++ b/src/runtime/OperatorServer.test.ts
@@ -9,7 +9,7 @@
 
 const SEED = 20_261_202
 
-test('asks for the token before anything else', async t => {
+test('refuses a request without the token before it reads the body', async t => {
   const { call } = await setUp(t)
   for (const token of ['', 'wrong', `${TOKEN}x`]) t.is((await call('GET', '/v1/dump', { token })).status, 401)
   t.is((await call('PUT', '/v1/config/profile/urgent', { token: 'wrong', body: 'x'.repeat(1_000_000) })).status, 401)
@@ -32,7 +32,7 @@
   t.is((await call('GET', `${path}/everywhere`)).json['places'][0].revision, 1)
 })
 
-test('says what is wrong with a request', async t => {
+test('responds to an invalid request with its error', async t => {
   const { call, store } = await setUp(t)
   const path = '/v1/config/profile/urgent'
   t.is((await call('PUT', path, { body: '{}' })).status, 428)
@@ -49,7 +49,7 @@
   t.is((await call('PUT', path, { ifMatch: 0, body: JSON.stringify(URGENT_PROFILE) })).json['error'], 'storeUnavailable')
 })
 
-test('any path, query and body gets a JSON answer below 500', async t => {
+test('any path, query and body gets a JSON response with a status below 500', async t => {
   const { call } = await setUp(t)
   const segment = fc.constantFrom('v1', 'config', 'profile', 'urgent', 'history', 'rollback', '%', '%00', '..', '__proto__', 'constructor', '%2f', '')
   const path = fc.tuple(fc.array(segment, { maxLength: 5 }), fc.constantFrom('', '?section=a&section=b', '?__proto__[x]=1', '?a[b][c]=1', '?%'))
@@ -63,9 +63,9 @@
   }), { seed: SEED, numRuns: 200 })
 })
 
-// A client opens a connection and sends its headers a byte at a time, or none at all. Without a limit, a few hundred
-// of them keep operators out.
-test('a slow sender is cut off', async t => {
+// Clients open connections and send their headers a byte at a time, or not at all. Without a time limit, a few hundred such
+// clients would use up the connections, and operators could not connect.
+test('the connection of a slow client is closed', async t => {
   const { url } = await setUp(t)
   const socket = createConnection(Number(new URL(url).port), '127.0.0.1')
   socket.on('error', () => {})
@@ -74,7 +74,7 @@
   t.pass()
 })
 
-test('an address that is taken is an error and not a wait', async t => {
+test('an address that is already in use is reported as an error', async t => {
   const { url } = await setUp(t)
   const logger = new SilentLogger()
   const listen = { ip: '127.0.0.1', port: Number(new URL(url).port) }
--- a/src/runtime/OperatorServer.ts
+++ b/src/runtime/OperatorServer.ts
@@ -1,6 +1,6 @@
 /**
- * The operators' side of a process: a listener of its own, apart from the callers', that asks for the token of the
- * settings before it reads anything else.
+ * The HTTP server for operators, with its own listener, separate from that for callers. It checks the token of the settings
+ * before it reads anything else of a request.
  */
 
 import ApiGateway from 'moleculer-web'
@@ -18,16 +18,16 @@
 import type { IOperatorReply, IOperatorRequest, OperatorHandlers, OperatorRouteName } from './OperatorRoutes.js'
 import type { ILimitSettings, IOperatorSettings } from './settings/Types.js'
 
-/** A profile takes less than 1 KB; a client that sends more is mistaken. */
+/** Far more than a profile, which takes less than 1 KB. */
 const MAX_BODY_BYTES = 64 * 1024
 const MAX_CONNECTIONS = 100
 const REQUEST_TIMEOUT_MS = 10_000
 const CLOSE_GRACE_MS = 1000
 const MAX_OPERATOR_CHARS = 64
-const UNAUTHORIZED = faultReply(401, 'unauthorized', 'show the token of [operator] in the settings as "Authorization: Bearer <token>"')
-const UNKNOWN_PATH = faultReply(404, 'notFound', 'there is no such path; docs/API.md lists them')
+const UNAUTHORIZED = faultReply(401, 'unauthorized', 'send the token of [operator] in the settings as "Authorization: Bearer <token>"')
+const UNKNOWN_PATH = faultReply(404, 'notFound', 'there is no such path; docs/API.md lists the paths')
 
-/** What moleculer-web adds to a request. */
+/** A request with the properties that moleculer-web adds. */
 interface IApiRequest extends IncomingMessage {
   readonly $params: { readonly params?: Record<string, string>, readonly query?: Record<string, unknown>, readonly body?: unknown }
 }
@@ -36,7 +36,7 @@
   private readonly _token: BearerToken
   private readonly _listener: HttpListener
 
-  /** Registers a service with the broker; call `listen` once the broker has started. */
+  /** Registers a service with the broker; call `listen` after the broker has started. */
   public constructor (
     broker: ServiceBroker,
     private readonly _settings: IOperatorSettings,
@@ -46,13 +46,13 @@
   ) {
     this._token = new BearerToken(_settings.token)
     const service = broker.createService(this._schema()) as unknown as { readonly httpHandler: RequestListener }
-    this._listener = new HttpListener(operatorLimits(limits), (request, response) => {
-      if (this._token.admits(request.headers.authorization)) service.httpHandler(request, response)
-      else this._refuse(request, response)
+    this._listener = new HttpListener(toHttpLimits(limits), (request, response) => {
+      if (this._token.matches(request.headers.authorization)) service.httpHandler(request, response)
+      else this._refuseUnauthorized(request, response)
     })
   }
 
-  /** Binds the address of the settings and gives the base URL. */
+  /** Binds the address of the settings and returns the base URL. */
   public listen (): ResultAsync<string, UnreachableError> {
     return this._listener.listen(this._settings.listen)
   }
@@ -71,12 +71,12 @@
       name: 'operators',
       mixins: [ApiGateway as unknown as ServiceSchema],
       settings: {
-        // The listener is ours; moleculer-web routes, parses and answers.
+        // HttpListener listens; moleculer-web only routes, parses and responds.
         server: false,
         logRequest: null,
         logResponse: null,
         logRouteRegistration: null,
-        onError: (_request: IncomingMessage, response: ServerResponse, error: unknown) => send(response, replyOf(error)),
+        onError: (_request: IncomingMessage, response: ServerResponse, error: unknown) => send(response, toErrorReply(error)),
         routes: [{
           path: '/',
           mergeParams: false,
@@ -94,20 +94,20 @@
       send(response, await handler(toOperatorRequest(request)))
     } catch (error) {
       this._logger.error('operator.failed', { route: name, ...errorFields(error) })
-      send(response, faultReply(500, 'internal', 'the process failed to answer; its log has an operator.failed event'))
+      send(response, faultReply(500, 'internal', 'the request failed inside the process; see the operator.failed event in its log'))
     }
   }
 
-  private _refuse (request: IncomingMessage, response: ServerResponse): void {
+  private _refuseUnauthorized (request: IncomingMessage, response: ServerResponse): void {
     this._logger.warn('operator.unauthorized', { peer: request.socket.remoteAddress })
     response.setHeader('www-authenticate', 'Bearer')
-    // The rest of the request isn't read, so the connection can't be used again.
+    // The rest of the request isn't read, so the connection can't be reused.
     response.setHeader('connection', 'close')
     send(response, UNAUTHORIZED)
   }
 }
 
-function operatorLimits (limits: ILimitSettings): IHttpLimits {
+function toHttpLimits (limits: ILimitSettings): IHttpLimits {
   return { ...limits, maxConnections: MAX_CONNECTIONS, requestTimeoutMs: REQUEST_TIMEOUT_MS }
 }
 
@@ -115,20 +115,20 @@
   const { params = {}, query = {}, body } = request.$params
   const texts = Object.entries(query).filter((pair): pair is [string, string] => typeof pair[1] === 'string')
   const operator = String(request.headers['x-jackdawreel-operator'] ?? 'unnamed').slice(0, MAX_OPERATOR_CHARS)
-  return { params, query: Object.fromEntries(texts), body, ifMatch: revisionOf(request.headers['if-match']), operator }
+  return { params, query: Object.fromEntries(texts), body, ifMatch: parseRevision(request.headers['if-match']), operator }
 }
 
-/** An entity tag is quoted; a bare number is taken too. */
-function revisionOf (ifMatch: string | undefined): number | undefined {
+/** Parses the entity tag, which is quoted by the standard; a number without quotes is accepted too. */
+function parseRevision (ifMatch: string | undefined): number | undefined {
   const digits = /^"?(\d{1,15})"?$/.exec(ifMatch ?? '')?.[1]
   return digits === undefined ? undefined : Number(digits)
 }
 
-/** What the library reports: an unknown path, a body that isn't JSON or is too long. */
-function replyOf (error: unknown): IOperatorReply {
+/** The response to an error of moleculer-web: an unknown path, or a body that is malformed or too long. */
+function toErrorReply (error: unknown): IOperatorReply {
   const { code, status } = error as { readonly code?: unknown, readonly status?: unknown }
   if (code === 404) return UNKNOWN_PATH
-  if (code === 413 || status === 413) return faultReply(413, 'tooLarge', `a body may have up to ${MAX_BODY_BYTES} bytes`)
+  if (code === 413 || status === 413) return faultReply(413, 'tooLarge', `the body exceeds the limit of ${MAX_BODY_BYTES} bytes`)
   return faultReply(400, 'badRequest', 'the request is malformed: send a JSON body and a well-formed path')
 }
 
--- a/src/runtime/RunnerClient.test.ts
+++ b/src/runtime/RunnerClient.test.ts
@@ -1,5 +1,5 @@
 /**
- * The runner client against the stand-in: what is said of a call has to be true of the runner's own record.
+ * Tests the runner client against the stand-in: the outcome of each call must agree with the runner's own record.
  */
 
 import { randomBytes } from 'node:crypto'
@@ -50,7 +50,7 @@
   return runner.dump() as IRunnerDump
 }
 
-test('a megabyte of binary comes back unchanged, and names in any script reach the runner', async (t) => {
+test('a binary body of one megabyte is returned unchanged, and names in any script reach the runner', async (t) => {
   const runner = await startRunner(t)
   const body = randomBytes(1024 * 1024)
   const call = callOf('a1', { body, caller: 'Tierheim Süd / 北', requestId: 'eins, zwei\n%20' })
@@ -61,7 +61,7 @@
   t.like(dumpOf(runner.standIn).records[0], { caller: call.caller, requestId: call.requestId })
 })
 
-test('a status of the service is an answer and no refusal', async (t) => {
+test('an error status of the service is a response and not a refusal', async (t) => {
   const runner = await startRunner(t)
   runner.standIn.control({ failEverything: true })
   const answer = (await clientOf(t).run(hostAt(runner.url), callOf('a1')))._unsafeUnwrap()
@@ -69,9 +69,9 @@
   t.is(dumpOf(runner.standIn).started, 1)
 })
 
-test('an answer that is cut short is an error', async (t) => {
-  // A runner dies while it sends its answer. Without the check a caller would get half of a list of sightings with a
-  // good status, and take it for the whole.
+test('a truncated response is an error', async (t) => {
+  // A runner dies while it sends its response. Without the check, a caller would get half of a list of sightings with a
+  // success status, and treat it as the whole list.
   const runner = await startRunner(t)
   runner.standIn.control({ services: { chipLookup: { cutRate: 1 } } })
   const error = (await clientOf(t).run(hostAt(runner.url), callOf('a1')))._unsafeUnwrapErr()
@@ -79,9 +79,9 @@
   t.is(dumpOf(runner.standIn).started, 1)
 })
 
-test('an answer without a length is an error', async (t) => {
-  // An upstream that marks the end of its answer by closing can't be told from one that died half-way. The caller
-  // would be shown a short body as a whole one.
+test('a response without a length is an error', async (t) => {
+  // An upstream that ends its response by closing the connection can't be told from one that died half-way. The caller
+  // would get a truncated body as a complete one.
   const server = createServer((socket) => {
     socket.on('error', () => {})
     socket.once('data', () => { socket.end('HTTP/1.1 200 OK\r\nconnection: close\r\n\r\nhalf of') })
@@ -92,15 +92,15 @@
   t.true((await clientOf(t).run(hostAt(url), callOf('a1')))._unsafeUnwrapErr() instanceof AmbiguousError)
 })
 
-test('no slot and leaving are refusals, and nothing has run', async (t) => {
+test('a runner without a free slot or one that is leaving refuses a call, which has not run', async (t) => {
   // Two owners of a runner overlap for a moment, or the host list lags behind a runner that leaves. A caller whose
-  // call is refused there may be told that it did not run.
+  // call is refused there may be told that the call did not run.
   const runner = await startRunner(t, 1)
   runner.standIn.control({ services: { '*': { runMs: LONG_MS } } })
   const client = clientOf(t)
   const abort = new AbortController()
   const first = client.run(hostAt(runner.url), callOf('a1', { signal: abort.signal }))
-  await eventually('the slot is taken', () => dumpOf(runner.standIn).slotsInUse === 1)
+  await eventually('the slot is in use', () => dumpOf(runner.standIn).slotsInUse === 1)
   const other = clientOf(t)
   t.is((await other.run(hostAt(runner.url), callOf('a2')))._unsafeUnwrapErr().constructor, RefusedError)
   runner.standIn.control({ leaving: true })
@@ -110,9 +110,9 @@
   t.true((await first)._unsafeUnwrapErr() instanceof AmbiguousError)
 })
 
-test('an older epoch is fenced and learns the current one', async (t) => {
-  // A scheduler was paused while another took its runners over. What it still sends must not run besides the new
-  // owner's work: farmers would see a pivot started twice.
+test('a call with an older epoch is fenced, and the error contains the current epoch', async (t) => {
+  // A scheduler was paused while another one took over its runners. The calls that it still sends must not run in addition
+  // to the new owner's calls, or a pivot would be started twice.
   const runner = await startRunner(t)
   const client = clientOf(t)
   const status = (await client.fence(hostAt(runner.url), { shardId: 'shard-1', epoch: 7 }))._unsafeUnwrap()
@@ -122,14 +122,14 @@
   t.is(dumpOf(runner.standIn).started, 0)
 })
 
-test('a host that takes no connections was never reached', async (t) => {
+test('a call to a host that accepts no connections is unreachable', async (t) => {
   const runner = await startRunner(t)
   runner.server.refuse()
   t.true((await clientOf(t).run(hostAt(runner.url), callOf('a1')))._unsafeUnwrapErr() instanceof UnreachableError)
 })
 
 test('a call that times out on the runner may have run', async (t) => {
-  // The runner is slow or its answer is lost. To call this "not run" would have the caller send a broadcast again.
+  // The runner is slow or its response is lost. If the call counted as "not run", the caller would send a broadcast again.
   const runner = await startRunner(t)
   runner.standIn.control({ services: { '*': { hangRate: 1 } } })
   const error = (await clientOf(t).run(hostAt(runner.url), callOf('a1', { timeoutMs: 300 })))._unsafeUnwrapErr()
@@ -137,9 +137,9 @@
   t.is(dumpOf(runner.standIn).started, 1)
 })
 
-test('a call that is given up while it waits for a connection never runs', async (t) => {
-  // All connections are busy, the caller's deadline passes, and it is told "not run". When a connection comes free the
-  // call must not go out after all: a broadcast would be sent that its caller sends again.
+test('a call that times out while it waits for a connection never runs', async (t) => {
+  // All connections are busy, the caller's deadline passes, and the caller is told "not run". The call must not be sent when
+  // a connection becomes free, because the caller sends its broadcast again.
   const runner = await startRunner(t, 8)
   runner.standIn.control({ services: { slow: { runMs: 200 } } })
   const client = clientOf(t)
@@ -152,9 +152,9 @@
   t.deepEqual(dumpOf(runner.standIn).records.map((record) => record.attemptId), ['a1', 'a3'])
 })
 
-test('a kept connection that the runner closes under a call leaves it ambiguous, and it is written once', async (t) => {
-  // A runner closes idle connections just when a call goes out on one of them. The client can't know whether the
-  // runner read it; sent again on a new connection, a pivot start might run twice.
+test('a call on an idle connection that the runner closes is ambiguous and written once', async (t) => {
+  // A runner closes idle connections just when a call is sent on one of them. The client can't know whether the runner
+  // read the call. If the client sent it again on a new connection, a pivot start could run twice.
   let reads = 0
   const server = createServer((socket) => {
     socket.on('error', () => {})
@@ -173,15 +173,15 @@
   t.is(reads, 2)
 })
 
-test('a burst keeps within the slots, and a fence does not wait behind it', async (t) => {
-  // Every slot is busy for a long time when the runner changes hands. The new fence must get through at once, or the
+test('a burst of calls uses no more than the slots, and a fence does not wait behind it', async (t) => {
+  // Every slot is busy for a long time when another owner takes over the runner. The new fence must arrive at once, or the
   // runner's capacity is lost until the long calls end.
   const runner = await startRunner(t)
   runner.standIn.control({ services: { '*': { runMs: LONG_MS } } })
   const client = clientOf(t)
   const aborts = Array.from({ length: 50 }, () => new AbortController())
   const calls = aborts.map(({ signal }, index) => client.run(hostAt(runner.url), callOf(`a${index}`, { signal })))
-  await eventually('all slots are taken', () => dumpOf(runner.standIn).slotsInUse === 8)
+  await eventually('all slots are in use', () => dumpOf(runner.standIn).slotsInUse === 8)
   const status = (await client.fence(hostAt(runner.url), { shardId: 'shard-1', epoch: 2 }))._unsafeUnwrap()
   t.is(status.slotsInUse, 8)
   for (const abort of aborts) abort.abort()
@@ -192,7 +192,7 @@
   t.true(dumpOf(runner.standIn).mostConnections <= 9)
 })
 
-test('an answer beyond the limit is cut off and may have run', async (t) => {
+test('a call whose response exceeds the size limit is ambiguous', async (t) => {
   const runner = await startRunner(t)
   runner.standIn.control({ services: { '*': { answerBytes: 5000 } } })
   const client = new RunnerClient({ ...RUNNER_CLIENT_DEFAULTS, maxAnswerBytes: 4096 })
--- a/src/runtime/RunnerClient.ts
+++ b/src/runtime/RunnerClient.ts
@@ -1,6 +1,6 @@
 /**
- * Calls to runners. Each call is written at most once and ends in a truthful error: refused or never written means
- * that it did not run, anything else without a whole answer that it may have.
+ * Sends calls to runners. Each call is written at most once. A call that was refused or never written did not run; any other
+ * call without a complete response may have run.
  */
 
 import { err, ok } from 'neverthrow'
@@ -8,7 +8,7 @@
 
 import type { Result, ResultAsync } from 'neverthrow'
 import { runnerStatus } from './Answers.js'
-import { sendCommand, statedRefusal } from './HostCommand.js'
+import { sendCommand, parseRefusal } from './HostCommand.js'
 import { exchange } from './HttpExchange.js'
 
 import type { IDisposable } from '../common/Types.js'
@@ -18,9 +18,9 @@
 export interface IRunnerClientOptions {
   /** The longest wait for a connection, in milliseconds. */
   readonly connectTimeoutMs: number
-  /** The longest wait for the answer to a fence, in milliseconds. */
+  /** The longest wait for the response to a fence, in milliseconds. */
   readonly controlTimeoutMs: number
-  /** Larger answers are cut off and count as ambiguous, in bytes. */
+  /** The largest response, in bytes; a call with a larger one is aborted and counts as ambiguous. */
   readonly maxAnswerBytes: number
 }
 
@@ -36,60 +36,60 @@
 
 const DEFAULT_CONTENT_TYPE = 'application/octet-stream'
 const CONTROL_CONNECTIONS = 1
-/** A runner that changes hands is connected to by its old and its new owner for a while. */
+/** After a takeover, a runner has connections of both its old and its new owner for a while. */
 const OWNERS_AT_ONCE = 2
 const PLAIN_HEADER_VALUE = /^[\w.:@/-]*$/
 
 export class RunnerClient implements IRunnerClient, IDisposable {
-  private readonly _hosts = new Map<string, IRunnerConnections>()
+  private readonly _connectionsByHost = new Map<string, IRunnerConnections>()
 
   public constructor (private readonly _options: IRunnerClientOptions = RUNNER_CLIENT_DEFAULTS) {}
 
   public run (host: IHostRecord, call: IRunnerCall): ResultAsync<IRunnerAnswer, UpstreamError> {
-    const ask: IHttpRequest = {
+    const request: IHttpRequest = {
       step: 'runner.run',
       peer: host.hostId,
       method: 'POST',
       path: `/run/${encodeURIComponent(call.service)}`,
-      headers: callHeaders(call),
+      headers: toHeaders(call),
       body: call.body,
       timeoutMs: call.timeoutMs,
       signal: call.signal
     }
-    return exchange(this._connections(host).calls, ask).andThen((answer) => takeAnswer(ask, answer))
+    return exchange(this._connectionsTo(host).calls, request).andThen((response) => toRunnerAnswer(request, response))
   }
 
   public fence (host: IHostRecord, fence: IFence): ResultAsync<IRunnerStatus, UpstreamError> {
-    const command = { step: 'runner.fence', peer: host.hostId, path: '/fence', ask: fence, timeoutMs: this._options.controlTimeoutMs }
-    return sendCommand(this._connections(host).control, command, runnerStatus)
+    const command = { step: 'runner.fence', peer: host.hostId, path: '/fence', body: fence, timeoutMs: this._options.controlTimeoutMs }
+    return sendCommand(this._connectionsTo(host).control, command, runnerStatus)
   }
 
-  /** Calls in progress go on: a shard that changes hands must not cut them off. Their own timeouts bound them. */
+  /** Closes the connections after the calls in progress, which a takeover of the shard must not abort. Their timeouts bound the wait. */
   public forget (hostId: string): void {
-    const connections = this._hosts.get(hostId)
+    const connections = this._connectionsByHost.get(hostId)
     if (connections === undefined) return
-    this._hosts.delete(hostId)
+    this._connectionsByHost.delete(hostId)
     connections.calls.close().catch(() => {})
     connections.control.close().catch(() => {})
   }
 
   public dispose (): void {
-    for (const hostId of [...this._hosts.keys()]) this.forget(hostId)
+    for (const hostId of [...this._connectionsByHost.keys()]) this.forget(hostId)
   }
 
-  private _connections (host: IHostRecord): IRunnerConnections {
-    const known = this._hosts.get(host.hostId)
+  private _connectionsTo (host: IHostRecord): IRunnerConnections {
+    const known = this._connectionsByHost.get(host.hostId)
     if (known?.url === host.url) return known
     this.forget(host.hostId)
-    const made = this._connect(host)
-    this._hosts.set(host.hostId, made)
-    return made
+    const created = this._connect(host)
+    this._connectionsByHost.set(host.hostId, created)
+    return created
   }
 
   /**
-   * One connection a slot is all that can be in use, and one besides for fences, so that a takeover never waits behind
-   * long calls. No owner uses more than its share of the runner's limit: beyond it the runner turns connections away,
-   * and one would see calls fail while slots are free.
+   * Opens at most one connection per slot, and another one for fences, so that a takeover never waits behind long calls. No
+   * owner uses more than its share of the runner's connection limit. Over the limit the runner refuses connections, and calls
+   * would fail although slots are free.
    */
   private _connect (host: IHostRecord): IRunnerConnections {
     const share = Math.floor(host.maxConnections / OWNERS_AT_ONCE) - CONTROL_CONNECTIONS
@@ -105,25 +105,25 @@
   }
 }
 
-function callHeaders (call: IRunnerCall): readonly string[] {
+function toHeaders (call: IRunnerCall): readonly string[] {
   return [
     'content-type', call.contentType,
-    'x-shard-id', headerValue(call.fence.shardId),
+    'x-shard-id', encodeHeaderValue(call.fence.shardId),
     'x-epoch', String(call.fence.epoch),
-    'x-attempt-id', headerValue(call.attemptId),
-    'x-request-id', headerValue(call.requestId),
-    'x-caller', headerValue(call.caller)
+    'x-attempt-id', encodeHeaderValue(call.attemptId),
+    'x-request-id', encodeHeaderValue(call.requestId),
+    'x-caller', encodeHeaderValue(call.caller)
   ]
 }
 
-/** Percent-encodes what a header can't carry as it is. */
-function headerValue (text: string): string {
+/** Percent-encodes a text with characters that a header can't contain. */
+function encodeHeaderValue (text: string): string {
   return PLAIN_HEADER_VALUE.test(text) ? text : encodeURIComponent(text)
 }
 
-function takeAnswer (ask: IHttpRequest, answer: IHttpResponse): Result<IRunnerAnswer, UpstreamError> {
-  const refusal = statedRefusal(ask, answer)
+function toRunnerAnswer (request: IHttpRequest, response: IHttpResponse): Result<IRunnerAnswer, UpstreamError> {
+  const refusal = parseRefusal(request, response)
   if (refusal !== undefined) return err(refusal)
-  const contentType = answer.headers['content-type'] ?? DEFAULT_CONTENT_TYPE
-  return ok({ status: answer.status, contentType, body: answer.body })
+  const contentType = response.headers['content-type'] ?? DEFAULT_CONTENT_TYPE
+  return ok({ status: response.status, contentType, body: response.body })
 }
--- a/src/runtime/StateRoutes.ts
+++ b/src/runtime/StateRoutes.ts
@@ -1,5 +1,5 @@
 /**
- * The observing part of the operators' HTTP interface that every process has: dump, metrics and outcomes.
+ * The read-only routes of the operators' HTTP interface that every process serves: dump, metrics and outcomes.
  */
 
 import { faultReply, okReply } from './OperatorRoutes.js'
@@ -10,36 +10,36 @@
 import type { ProcessMetrics } from '../common/observability/ProcessMetrics.js'
 import type { IOperatorReply, IOperatorRequest, OperatorHandlers } from './OperatorRoutes.js'
 
-/** Rows of one answer; each has up to some hundred buckets. */
+/** The most rows in one response; each has up to some hundred buckets. */
 const MAX_OUTCOME_ROWS = 200
 
 export interface IStateSources {
   readonly processId: string
   readonly dumps: DumpRegistry
   readonly metrics: ProcessMetrics
-  /** Times by name, for example of each service. */
+  /** Latency tables by name, for example one for each service. */
   readonly times: Readonly<Record<string, LatencyTable>>
-  /** Absent in a process that answers no callers. */
+  /** Absent in a process that serves no callers. */
   readonly outcomes?: OutcomeCounters
 }
 
 export function stateHandlers (sources: IStateSources): OperatorHandlers {
   const { processId, metrics, outcomes } = sources
   return {
-    dump: request => dump(sources, request),
-    metrics: () => okReply({ processId, process: metrics.current(), times: summaries(sources) }),
+    dump: request => replyDump(sources, request),
+    metrics: () => okReply({ processId, process: metrics.current(), times: summarizeTimes(sources) }),
     ...(outcomes === undefined
       ? {}
       : { outcomes: ({ query }: IOperatorRequest) => okReply({ processId, rows: outcomes.rows(query['service'], MAX_OUTCOME_ROWS) }) })
   }
 }
 
-function dump ({ processId, dumps }: IStateSources, { query }: IOperatorRequest): IOperatorReply {
+function replyDump ({ processId, dumps }: IStateSources, { query }: IOperatorRequest): IOperatorReply {
   const sections = dumps.dump(query['section'])
   if (sections !== undefined) return okReply({ processId, sections })
-  return faultReply(404, 'notFound', `there is no such section; there are ${dumps.names().join(', ')}`)
+  return faultReply(404, 'notFound', `there is no such section; the sections are ${dumps.names().join(', ')}`)
 }
 
-function summaries ({ times }: IStateSources): object {
+function summarizeTimes ({ times }: IStateSources): object {
   return Object.fromEntries(Object.entries(times).map(([name, table]) => [name, table.summaries()]))
 }
--- a/src/runtime/StoreWatch.ts
+++ b/src/runtime/StoreWatch.ts
@@ -1,6 +1,6 @@
 /**
- * One watch on the key-value service: a loop of long polls that goes on from the last revision seen, starts over from
- * a whole range when the store has forgotten what lies between, and backs off while the store can't be reached.
+ * A watch on the key-value service: a loop of long polls that continues from the last revision seen. The watch reads the whole
+ * range again if the store can't replay the changes in between, and backs off while the store is unreachable.
  */
 
 import type { ResultAsync } from 'neverthrow'
@@ -12,9 +12,9 @@
   readonly revision: number
 }
 
-/** What the watch asks of the client that owns it. */
+/** The calls of the store client that a watch uses. */
 export interface IWatchSource {
-  /** Gives `undefined` when the store can't replay from `afterRevision`. */
+  /** Returns `undefined` if the store can't replay the changes after `afterRevision`. */
   poll (prefix: string, afterRevision: number, signal: AbortSignal): ResultAsync<IWatchPoll | undefined, StoreError>
   range (prefix: string): ResultAsync<IStoreRange, StoreError>
 }
@@ -25,9 +25,9 @@
 
 export class StoreWatch implements IDisposable {
   private _retryMs = FIRST_RETRY_MS
-  private _abort = new AbortController()
-  private _retry: IDisposable | undefined
-  private _disposed = false
+  private _abortController = new AbortController()
+  private _retryTimer: IDisposable | undefined
+  private _isDisposed = false
 
   public constructor (
     private readonly _source: IWatchSource,
@@ -43,39 +43,39 @@
   }
 
   /**
-   * Polls anew at once.
+   * Aborts the waiting poll and polls again at once.
    *
-   * A poll that was waiting while the store hung may never be answered, although the store is well again: one would
-   * see this process keep an old configuration for as long as the poll may wait.
+   * A poll that was waiting while the store hung may never get a response, although the store works again. This process
+   * would keep an old configuration until the poll times out.
    */
   public restart (): void {
-    this._retry?.dispose()
-    this._abort.abort()
+    this._retryTimer?.dispose()
+    this._abortController.abort()
     this._retryMs = FIRST_RETRY_MS
     this._poll()
   }
 
   public dispose (): void {
-    this._disposed = true
-    this._retry?.dispose()
-    this._abort.abort()
+    this._isDisposed = true
+    this._retryTimer?.dispose()
+    this._abortController.abort()
   }
 
   private _poll (): void {
-    if (this._disposed) return
+    if (this._isDisposed) return
     const abort = new AbortController()
-    this._abort = abort
-    const ifCurrent = (step: () => void): void => { if (!this._disposed && this._abort === abort) step() }
+    this._abortController = abort
+    const ifCurrent = (step: () => void): void => { if (!this._isDisposed && this._abortController === abort) step() }
     this._source.poll(this._prefix, this._afterRevision, abort.signal).match(
-      (polled) => { ifCurrent(() => { this._take(polled) }) },
+      (polled) => { ifCurrent(() => { this._handlePoll(polled) }) },
       () => { ifCurrent(() => { this._retryLater() }) })
       .catch((error: unknown) => { queueMicrotask(() => { throw error }) })
   }
 
-  private _take (polled: IWatchPoll | undefined): void {
-    // A revision below ours means that the store has lost its past and counts anew: nothing it replays can be trusted.
+  private _handlePoll (polled: IWatchPoll | undefined): void {
+    // A revision below the last one means that the store was restored from an older copy: its changes can't be trusted.
     if (polled === undefined || polled.revision < this._afterRevision) {
-      this._reset()
+      this._readRange()
       return
     }
     this._retryMs = FIRST_RETRY_MS
@@ -84,23 +84,23 @@
     this._poll()
   }
 
-  private _reset (): void {
-    const abort = this._abort
+  private _readRange (): void {
+    const abort = this._abortController
     this._source.range(this._prefix).match(
       (range) => {
-        if (this._disposed || this._abort !== abort) return
+        if (this._isDisposed || this._abortController !== abort) return
         this._afterRevision = range.revision
         this.listener.onReset(range)
         this._poll()
       },
-      () => { if (!this._disposed && this._abort === abort) this._retryLater() })
+      () => { if (!this._isDisposed && this._abortController === abort) this._retryLater() })
       .catch((error: unknown) => { queueMicrotask(() => { throw error }) })
   }
 
-  /** Waits longer after each failure, at random, so that the watches of a fleet don't come back to the store together. */
+  /** Backs off exponentially with jitter, so that the watches of a fleet don't reconnect to the store at the same time. */
   private _retryLater (): void {
     const delayMs = this._retryMs * (0.5 + this._random.next())
     this._retryMs = Math.min(this._retryMs * RETRY_GROWTH, MAX_RETRY_MS)
-    this._retry = this._timers.after(delayMs, () => { this._poll() })
+    this._retryTimer = this._timers.after(delayMs, () => { this._poll() })
   }
 }
--- a/src/runtime/Types.ts
+++ b/src/runtime/Types.ts
@@ -1,6 +1,6 @@
 /**
- * The narrow interfaces to everything outside the system. docs/PLATFORM.md says what is assumed of each; the
- * classes beside this file speak the protocols.
+ * The interfaces to all systems outside the project. docs/PLATFORM.md states the assumptions about each of them; the classes
+ * in this folder implement the protocols.
  */
 
 import type { ResultAsync } from 'neverthrow'
@@ -16,32 +16,32 @@
 
 export type StoreError = UnreachableError | AmbiguousError | RefusedError
 
-/** The platform's key-value service. Every call counts against its rate, a waiting watch as one. */
+/** The platform's key-value service. Every call counts against its rate limit; a waiting watch counts as one call. */
 export interface IKeyValueStore {
-  /** One read. Absent keys give `undefined`. */
+  /** Reads one key; `undefined` if the key is absent. */
   get (key: string): ResultAsync<IStoreRecord | undefined, StoreError>
-  /** All records whose key starts with `prefix`, and the revision at which that was true. */
+  /** Reads all records whose key starts with `prefix`, and the store's revision at that time. */
   range (prefix: string): ResultAsync<IStoreRange, StoreError>
   /**
-   * Writes `value` if the key's revision still is `expectedModRevision` (0: absent); `undefined` deletes.
-   * With `leaseId` the key goes when that lease lapses. Gives the new revision.
+   * Writes `value` if the key's revision still is `expectedModRevision` (0: absent); `undefined` deletes the key.
+   * With `leaseId` the store deletes the key when that lease expires. Returns the new revision.
    *
-   * `AmbiguousError` means that it may have taken effect: read back before deciding.
+   * `AmbiguousError` means that the write may have taken effect: read the key back before deciding.
    */
   compareAndSwap (key: string, expectedModRevision: number, value: string | undefined, leaseId?: string):
   ResultAsync<number, StoreError | ConflictError>
-  /** A lease of `ttlMs`, which lapses unless kept alive. */
+  /** Grants a lease, which expires after `ttlMs` without a renewal. Returns its id. */
   grantLease (ttlMs: number): ResultAsync<string, StoreError>
-  /** Renews; `RefusedError` means that it has lapsed. */
+  /** Renews a lease; `RefusedError` means that the lease has expired. */
   keepAlive (leaseId: string): ResultAsync<void, StoreError>
   revokeLease (leaseId: string): ResultAsync<void, StoreError>
   /**
-   * Follows a prefix from `afterRevision`. Calls back with changed records in order (deleted ones have
-   * `modRevision` of the deletion and `deleted: true`). After an outage it resumes, and after a gap that the store
-   * can't replay it calls `onReset` with a whole range.
+   * Watches a prefix from `afterRevision`, and passes the changed records to the listener in order (deleted ones have the
+   * `modRevision` of the deletion and `deleted: true`). The watch resumes after an outage. If the store can't replay the
+   * changes in between, the watch calls `onReset` with the whole range.
    */
   watch (prefix: string, afterRevision: number, listener: IStoreWatchListener): IDisposable
-  /** Calls made so far, for the control cost. */
+  /** The number of calls so far, for the metrics of control traffic. */
   readonly callCount: number
 }
 
@@ -57,7 +57,7 @@
 export interface IStoreWatchListener {
   onChanges (changes: readonly IStoreChange[]): void
   onReset (range: IStoreRange): void
-  /** The store can't be reached (false) or can again (true). */
+  /** Called when the store becomes unreachable (false) or reachable again (true). */
   onReachable (reachable: boolean): void
 }
 
@@ -71,20 +71,20 @@
   readonly url: string
   readonly rack: string
   readonly state: 'live' | 'leaving' | 'gone'
-  /** Runners: requests it runs at once. */
+  /** Runners: the number of requests that the runner runs concurrently. */
   readonly slots: number
-  /** Runners: connections it takes at once. */
+  /** Runners: the number of concurrent connections that the runner accepts. */
   readonly maxConnections: number
-  /** Workers: its capacity. */
+  /** Workers: the resources that the worker offers. */
   readonly capacity: IResources
 }
 
-/** The platform's host list, which lags behind. */
+/** The platform's host list, which lags behind the actual state of the hosts. */
 export interface IHostList {
   list (): ResultAsync<readonly IHostRecord[], StoreError>
 }
 
-/** Says on whose behalf an upstream is commanded: it refuses an epoch older than the highest it has seen for the shard. */
+/** Identifies the owner that sends a command. An upstream refuses an epoch below the highest one that it has seen for the shard. */
 export interface IFence {
   readonly shardId: string
   readonly epoch: number
@@ -95,7 +95,7 @@
   readonly service: string
   readonly caller: string
   readonly requestId: string
-  /** Unique for each dispatch, so that answers and records can be told apart. */
+  /** Unique for each dispatch, so that responses and records can be matched to it. */
   readonly attemptId: string
   readonly timeoutMs: number
   readonly contentType: string
@@ -110,8 +110,8 @@
 }
 
 /**
- * `RefusedError` (no slot, leaving, fenced) and `UnreachableError` (never sent) mean that it did not run;
- * `AmbiguousError` (sent, then cut or timed out) that it may have.
+ * `RefusedError` (no slot, leaving, fenced) and `UnreachableError` (never sent) mean that the call did not run;
+ * `AmbiguousError` (sent, then disconnected or timed out) means that it may have run.
  */
 export type UpstreamError = RefusedError | FencedError | UnreachableError | AmbiguousError
 
@@ -119,14 +119,14 @@
   readonly slots: number
   readonly slotsInUse: number
   readonly leaving: boolean
-  /** Attempts that run now, whoever sent them. */
+  /** The attempts that are running, of all senders. */
   readonly attemptIds: readonly string[]
 }
 
-/** A runner: takes calls on its slots. */
+/** Client of runners, which run calls on their slots. */
 export interface IRunnerClient {
   run (host: IHostRecord, call: IRunnerCall): ResultAsync<IRunnerAnswer, UpstreamError>
-  /** Raises the runner's epoch for the shard and gives what runs there. */
+  /** Raises the runner's epoch for the shard, and returns the runner's status. */
   fence (host: IHostRecord, fence: IFence): ResultAsync<IRunnerStatus, UpstreamError>
   /** Drops connections to hosts that are no longer in use. */
   forget (hostId: string): void
@@ -134,14 +134,14 @@
 
 export interface ITaskStart {
   readonly taskId: string
-  /** Counts the attempts of this task; a higher one never starts while a lower one may live. */
+  /** The number of this attempt of the task; an attempt never starts while an earlier one may still run. */
   readonly attempt: number
   readonly jobId: string
   readonly service: string
   readonly resources: IResources
   /** Expected run time for the stand-in, in milliseconds; absent for a long-running service. */
   readonly runMs?: number
-  /** When the task's lease ends on the host's own clock, in milliseconds of that clock. */
+  /** When the task's lease expires, in milliseconds on the host's own clock. */
   readonly leaseExpiresHostMs: number
 }
 
@@ -152,23 +152,23 @@
   readonly attempt: number
   readonly jobId: string
   readonly state: 'running' | TaskEnd
-  /** Declared at the start. */
+  /** The resources that were declared when the task started. */
   readonly resources: IResources
-  /** Reported use, which lags. */
+  /** The reported usage, which lags behind the actual usage. */
   readonly usage: IResources
 }
 
 export interface IWorkerSync {
   readonly fence: IFence
-  /** Renews the leases of all tasks on the host up to this time of the host's clock. */
+  /** The new expiry of the leases of all tasks on the host, in milliseconds on the host's clock. */
   readonly leaseExpiresHostMs: number
-  /** Answers at once when something ended after this sequence number, else after `waitMs`. */
+  /** The worker responds as soon as a task has ended after this sequence number, at the latest after `waitMs`. */
   readonly afterSequence: number
   readonly waitMs: number
 }
 
 export interface IWorkerStatus {
-  /** The host's clock when it answered, in milliseconds: leases are counted on it. */
+  /** The time on the host's clock when it responded, in milliseconds; lease times refer to this clock. */
   readonly hostMs: number
   readonly leaving: boolean
   readonly sequence: number
@@ -177,12 +177,12 @@
   readonly tasks: readonly ITaskStatus[]
 }
 
-/** A worker: runs tasks under leases. */
+/** Client of workers, which run tasks under leases. */
 export interface IWorkerClient {
   fence (host: IHostRecord, fence: IFence): ResultAsync<IWorkerStatus, UpstreamError>
   start (host: IHostRecord, fence: IFence, tasks: readonly ITaskStart[]): ResultAsync<IWorkerStatus, UpstreamError>
   stop (host: IHostRecord, fence: IFence, taskId: string, attempt: number): ResultAsync<IWorkerStatus, UpstreamError>
-  /** Renewal, news and usage in one long poll, so that the cost is per host and not per task. */
+  /** Renews the leases and reads task states and usage in one long poll, so that the cost grows with the hosts and not with the tasks. */
   sync (host: IHostRecord, sync: IWorkerSync): ResultAsync<IWorkerStatus, UpstreamError>
   /** Drops connections to hosts that are no longer in use. */
   forget (hostId: string): void
--- a/src/runtime/Version.ts
+++ b/src/runtime/Version.ts
@@ -1,13 +1,13 @@
 /**
- * The version of the installed package.
+ * Reads the version of the installed package.
  */
 
 import { readFileSync } from 'node:fs'
 
-/** From the compiled file's place below `dist` to the root of the package. */
-const PACKAGE_FILE = '../../../package.json'
+/** Relative to the compiled file in `dist/src/runtime/`. */
+const PACKAGE_PATH = '../../../package.json'
 
 export function packageVersion (): string {
-  const text = readFileSync(new URL(PACKAGE_FILE, import.meta.url), 'utf8')
+  const text = readFileSync(new URL(PACKAGE_PATH, import.meta.url), 'utf8')
   return (JSON.parse(text) as { readonly version: string }).version
 }
--- a/src/runtime/WorkerClient.test.ts
+++ b/src/runtime/WorkerClient.test.ts
@@ -1,5 +1,5 @@
 /**
- * The worker client against the stand-in: leases on the host's clock, fencing, and news through the long poll.
+ * Tests the worker client against the stand-in: leases on the host's clock, fencing, and the long poll.
  */
 
 import test from 'ava'
@@ -22,10 +22,12 @@
 }
 
 function taskOf (taskId: string, leaseExpiresHostMs: number, runMs = LONG_MS): ITaskStart {
-  return { taskId, attempt: 1, jobId: 'job-1', service: 'sectorSweep', resources: { cores: 1, memoryBytes: 1, accelerators: 0 }, runMs, leaseExpiresHostMs }
+  return {
+    taskId, attempt: 1, jobId: 'job-1', service: 'sectorSweep', resources: { cores: 1, memoryBytes: 1, accelerators: 0 }, runMs, leaseExpiresHostMs
+  }
 }
 
-test('the long poll tells of an end at once and renews leases on the host\'s clock', async (t) => {
+test('the long poll reports the end of a task at once, and renews leases on the host\'s clock', async (t) => {
   const worker = await startWorker(t, OFFSET_MS)
   const host = hostAt(worker.url, 'worker')
   const client = clientOf(t)
@@ -39,9 +41,9 @@
   t.is(second.tasks.find((task) => task.taskId === 'unrenewed')?.state, 'leaseLapsed')
 })
 
-test('a start that arrives after its lease or after its stop does not run', async (t) => {
-  // A start is delayed on its way, and meanwhile the task was given up and placed on another host. Run late, it would
-  // be in two places at once.
+test('a start that arrives after the task\'s lease expired or after its stop does not run the task', async (t) => {
+  // A start is delayed in the network, and meanwhile the task is placed on another host. If the delayed start still ran, the
+  // task would run on two hosts at once.
   const worker = await startWorker(t)
   const host = hostAt(worker.url, 'worker')
   const client = clientOf(t)
@@ -52,7 +54,7 @@
   t.like(worker.standIn.dump(), { starts: 0 })
 })
 
-test('an older epoch is fenced, a leaving worker refuses, a dead one is not reached for certain', async (t) => {
+test('an older epoch is fenced, a leaving worker refuses, a hanging one is ambiguous, and a dead one is unreachable', async (t) => {
   const worker = await startWorker(t)
   const host = hostAt(worker.url, 'worker')
   const client = clientOf(t, 100)
--- a/src/runtime/WorkerClient.ts
+++ b/src/runtime/WorkerClient.ts
@@ -1,6 +1,6 @@
 /**
- * Commands to workers. A long poll that renews the leases has a connection of its own, so that a start or a stop
- * never waits behind it.
+ * Sends commands to workers. The long poll that renews the leases uses its own connection, so that a start or a stop never
+ * waits behind it.
  */
 
 import { Client } from 'undici'
@@ -15,7 +15,7 @@
 export interface IWorkerClientOptions {
   /** The longest wait for a connection, in milliseconds. */
   readonly connectTimeoutMs: number
-  /** The longest wait for an answer, in milliseconds; a long poll gets its own wait besides. */
+  /** The longest wait for a response, in milliseconds; a long poll may wait for its `waitMs` in addition. */
   readonly commandTimeoutMs: number
 }
 
@@ -28,53 +28,53 @@
 }
 
 export class WorkerClient implements IWorkerClient, IDisposable {
-  private readonly _hosts = new Map<string, IWorkerConnections>()
+  private readonly _connectionsByHost = new Map<string, IWorkerConnections>()
 
   public constructor (private readonly _options: IWorkerClientOptions = WORKER_CLIENT_DEFAULTS) {}
 
   public fence (host: IHostRecord, fence: IFence): ResultAsync<IWorkerStatus, UpstreamError> {
-    return this._command(host, 'worker.fence', '/fence', fence)
+    return this._sendCommand(host, 'worker.fence', '/fence', fence)
   }
 
   public start (host: IHostRecord, fence: IFence, tasks: readonly ITaskStart[]): ResultAsync<IWorkerStatus, UpstreamError> {
-    return this._command(host, 'worker.start', '/start', { ...fence, tasks })
+    return this._sendCommand(host, 'worker.start', '/start', { ...fence, tasks })
   }
 
   public stop (host: IHostRecord, fence: IFence, taskId: string, attempt: number): ResultAsync<IWorkerStatus, UpstreamError> {
-    return this._command(host, 'worker.stop', '/stop', { ...fence, taskId, attempt })
+    return this._sendCommand(host, 'worker.stop', '/stop', { ...fence, taskId, attempt })
   }
 
   public sync (host: IHostRecord, sync: IWorkerSync): ResultAsync<IWorkerStatus, UpstreamError> {
     const { fence, ...rest } = sync
     const timeoutMs = sync.waitMs + this._options.commandTimeoutMs
-    const command = { step: 'worker.sync', peer: host.hostId, path: '/sync', ask: { ...fence, ...rest }, timeoutMs }
-    return sendCommand(this._connections(host).polls, command, workerStatus)
+    const command = { step: 'worker.sync', peer: host.hostId, path: '/sync', body: { ...fence, ...rest }, timeoutMs }
+    return sendCommand(this._connectionsTo(host).polls, command, workerStatus)
   }
 
   public forget (hostId: string): void {
-    const connections = this._hosts.get(hostId)
+    const connections = this._connectionsByHost.get(hostId)
     if (connections === undefined) return
-    this._hosts.delete(hostId)
+    this._connectionsByHost.delete(hostId)
     connections.commands.destroy().catch(() => {})
     connections.polls.destroy().catch(() => {})
   }
 
   public dispose (): void {
-    for (const hostId of [...this._hosts.keys()]) this.forget(hostId)
+    for (const hostId of [...this._connectionsByHost.keys()]) this.forget(hostId)
   }
 
-  private _command (host: IHostRecord, step: string, path: string, ask: object): ResultAsync<IWorkerStatus, UpstreamError> {
-    const command = { step, peer: host.hostId, path, ask, timeoutMs: this._options.commandTimeoutMs }
-    return sendCommand(this._connections(host).commands, command, workerStatus)
+  private _sendCommand (host: IHostRecord, step: string, path: string, body: object): ResultAsync<IWorkerStatus, UpstreamError> {
+    const command = { step, peer: host.hostId, path, body, timeoutMs: this._options.commandTimeoutMs }
+    return sendCommand(this._connectionsTo(host).commands, command, workerStatus)
   }
 
-  private _connections (host: IHostRecord): IWorkerConnections {
-    const known = this._hosts.get(host.hostId)
+  private _connectionsTo (host: IHostRecord): IWorkerConnections {
+    const known = this._connectionsByHost.get(host.hostId)
     if (known?.url === host.url) return known
     this.forget(host.hostId)
     const common = { headersTimeout: 0, bodyTimeout: 0, pipelining: 1, connectTimeout: this._options.connectTimeoutMs }
-    const made = { url: host.url, commands: new Client(host.url, common), polls: new Client(host.url, common) }
-    this._hosts.set(host.hostId, made)
-    return made
+    const created = { url: host.url, commands: new Client(host.url, common), polls: new Client(host.url, common) }
+    this._connectionsByHost.set(host.hostId, created)
+    return created
   }
 }
--- a/src/runtime/config/ConfigConflictError.ts
+++ b/src/runtime/config/ConfigConflictError.ts
@@ -1,12 +1,12 @@
 /**
- * An edit that lost against another one.
+ * The error of an edit that conflicts with another edit.
  */
 
 import { ConflictError } from '../../common/Errors.js'
 
 import type { ConfigKind, IConfigEntry } from '../../common/config/Types.js'
 
-/** Nothing of this edit took effect; `current` is what the store holds now, absent where it never held any. */
+/** The edit had no effect. `current` is the entry in the store, absent if the item never existed. */
 export class ConfigConflictError extends ConflictError {
   public constructor (kind: ConfigKind, name: string, seenRevision: number, public readonly current: IConfigEntry | undefined) {
     const state = current?.deleted === true ? ', where it is deleted' : ''
--- a/src/runtime/config/ConfigConvergence.test.ts
+++ b/src/runtime/config/ConfigConvergence.test.ts
@@ -17,7 +17,7 @@
 
 interface IEdit {
   readonly name: string
-  /** How far the author's view lags behind. */
+  /** How many revisions the author's view lags behind. */
   readonly behind: number
   readonly isDelete: boolean
   readonly faults: ReadonlyArray<StoreFault | undefined>
@@ -33,7 +33,9 @@
 
 async function runEdits (store: ScriptedStore, edits: readonly IEdit[]) {
   let nonces = 0
-  const editor = new ConfigEditor(store, new ConfigReplica(), new SystemClock(), { newNonce: () => `n${++nonces}`, retryPauseMs: 0, maxAttempts: 2, maxHistory: 50 })
+  const editor = new ConfigEditor(store, new ConfigReplica(), new SystemClock(), {
+    newNonce: () => `n${++nonces}`, retryPauseMs: 0, maxAttempts: 2, maxHistory: 50
+  })
   const accepted: IConfigEntry[] = []
   const refusedNonces: string[] = []
   for (const { name, behind, isDelete, faults } of edits) {
@@ -50,15 +52,15 @@
   return { editor, accepted, refusedNonces }
 }
 
-/** The naive version: the entry with the highest revision of each name, found by sorting them all. */
-function newest (entries: readonly IConfigEntry[]): readonly IConfigEntry[] {
+/** Reference implementation: sorts all entries, and returns the one with the highest revision of each name. */
+function newestByName (entries: readonly IConfigEntry[]): readonly IConfigEntry[] {
   return NAMES.flatMap(name => entries.filter(entry => entry.name === name).sort((a, b) => b.revision - a.revision).slice(0, 1))
 }
 
-// Operators race, the store loses answers and writes, and entries reach the processes in any order and repeatedly.
-// A process that went back a revision would undo an accepted change for the callers it serves.
-test('accepted changes are in the store, and all replicas end at them whatever the order of news', async t => {
-  await fc.assert(fc.asyncProperty(fc.array(EDIT, { maxLength: 12 }), fc.infiniteStream(fc.nat()), async (edits, dice) => {
+// Operators edit concurrently, the store loses responses and writes, and processes receive entries repeatedly and in any order.
+// A process that returned to an earlier revision would undo an accepted change for the callers that it serves.
+test('accepted changes are in the store, and all replicas converge to them in any order of delivery', async t => {
+  await fc.assert(fc.asyncProperty(fc.array(EDIT, { maxLength: 12 }), fc.infiniteStream(fc.nat()), async (edits, nextRandom) => {
     const store = new ScriptedStore()
     const { editor, accepted, refusedNonces } = await runEdits(store, edits)
     const all = (await Promise.all(NAMES.map(async name => (await editor.history('profile', name))._unsafeUnwrap()))).flat()
@@ -66,34 +68,34 @@
     for (const nonce of refusedNonces) t.false(all.some(kept => kept.nonce === nonce), `${nonce} was refused`)
     for (const name of NAMES) {
       const revisions = all.filter(entry => entry.name === name).map(entry => entry.revision)
-      t.deepEqual(revisions, revisions.map((_, index) => index + 1), 'no hole and no revision twice')
+      t.deepEqual(revisions, revisions.map((_, index) => index + 1), 'revisions are consecutive and unique')
     }
     const replicas = [0, 1, 2].map(() => new ConfigReplica())
-    for (const replica of replicas) deliver(t, replica, all, () => dice.next().value)
+    for (const replica of replicas) deliver(t, replica, all, () => nextRandom.next().value)
     const stored = [...store.records.values()].filter(record => record.key.startsWith('config/'))
-    const expected = newest(stored.map(record => decodeEntry(record.key, record.value)._unsafeUnwrap()))
-    t.deepEqual(newest(all), expected)
+    const expected = newestByName(stored.map(record => decodeEntry(record.key, record.value)._unsafeUnwrap()))
+    t.deepEqual(newestByName(all), expected)
     for (const replica of replicas) {
-      t.deepEqual(newest(replica.entries()), expected)
+      t.deepEqual(newestByName(replica.entries()), expected)
       t.true(replica.digest() === replicas[0]?.digest())
     }
   }), { seed: SEED, numRuns: 200 })
 })
 
-function deliver (t: ExecutionContext, replica: ConfigReplica, all: readonly IConfigEntry[], dice: () => number): void {
-  const news = [...all, ...all].map(entry => ({ entry, order: dice() })).sort((a, b) => a.order - b.order)
+function deliver (t: ExecutionContext, replica: ConfigReplica, all: readonly IConfigEntry[], nextRandom: () => number): void {
+  const deliveries = [...all, ...all].map(entry => ({ entry, order: nextRandom() })).sort((a, b) => a.order - b.order)
   const seen: IConfigEntry[] = []
-  for (const { entry } of news) {
+  for (const { entry } of deliveries) {
     const before = replica.get('profile', entry.name)?.revision ?? 0
     replica.apply([entry])
     seen.push(entry)
-    const naive = Math.max(...seen.filter(other => other.name === entry.name).map(other => other.revision))
-    t.is(replica.get('profile', entry.name)?.revision, naive)
-    t.is(Math.max(before, naive), naive)
+    const expectedRevision = Math.max(...seen.filter(other => other.name === entry.name).map(other => other.revision))
+    t.is(replica.get('profile', entry.name)?.revision, expectedRevision)
+    t.is(Math.max(before, expectedRevision), expectedRevision)
   }
 }
 
-test('the digest differs when any revision does', t => {
+test('the digest differs if any revision differs', t => {
   const entry = { kind: 'profile', name: 'a', deleted: true, writer: 'w', nonce: 'n', changedAt: 0 } as const
   const digests = new Set<string>()
   for (let revision = 1; revision <= 2000; revision++) {
--- a/src/runtime/config/ConfigEditor.test.ts
+++ b/src/runtime/config/ConfigEditor.test.ts
@@ -22,7 +22,7 @@
   return { kind: 'profile', name: 'urgent', seenRevision, writer }
 }
 
-test('revisions count up over puts, deletions and rollbacks, and the history keeps each', async t => {
+test('puts, deletions and rollbacks increment the revision, and the history contains each revision', async t => {
   const { editor } = setUp()
   await editor.put(urgent(0), URGENT_PROFILE)
   await editor.put(urgent(1), { ...URGENT_PROFILE, weight: 2 })
@@ -43,9 +43,9 @@
   t.deepEqual(history.map(entry => entry.revision), [7, 8, 9])
 })
 
-// Two operators open the same profile and both save. The second one must not undo the first one's change unseen: it
-// is told that it lost and gets to see what stands there now.
-test('of two racing edits one wins, and the other is shown the winner', async t => {
+// Two operators open the same profile, and both save it. The second one must not overwrite the first one's change unseen:
+// the edit fails with a conflict, which contains the current entry.
+test('of two concurrent edits one is accepted, and the conflict of the other one contains the accepted entry', async t => {
   const { store, editor } = setUp()
   await editor.put(urgent(0), URGENT_PROFILE)
   let race: Promise<unknown> | undefined
@@ -63,24 +63,24 @@
   for (const error of lost) t.deepEqual((error as ConfigConflictError).current, current)
 })
 
-// The store makes the change and its answer is lost. An operator who is told "failed" would see the change in force
-// a second later; the editor reads back, finds its own mark and says "accepted".
-test('a lost answer after the change took effect is accepted', async t => {
+// The store applies the change, and its response is lost. If the edit counted as failed, the operator would see the change in
+// force a second later. The editor reads the entry back, finds its own nonce and reports the change as accepted.
+test('a change that took effect is accepted although the response is lost', async t => {
   const { store, editor } = setUp()
   store.writeFaults = ['answerLost']
   t.is((await editor.put(urgent(0), URGENT_PROFILE))._unsafeUnwrap().revision, 1)
 })
 
-// The store loses the answer to every write for a while, those to the history included.
-test('an edit is accepted while every answer to a write is lost', async t => {
+// The store loses the response to every write for a while, including writes of the history.
+test('an edit is accepted while every response to a write is lost', async t => {
   const { store, editor } = setUp()
   await editor.put(urgent(0), URGENT_PROFILE)
   store.writeFaults = ['answerLost', 'answerLost', 'answerLost', 'answerLost', 'answerLost', 'answerLost']
   t.is((await editor.put(urgent(1), URGENT_PROFILE))._unsafeUnwrap().revision, 2)
 })
 
-// The write itself is lost, or so slow that it arrives after it was repeated. The repeated one takes effect once:
-// the operator gets one revision, not two.
+// The write itself is lost, or arrives only after the editor has repeated it. The change takes effect once: the operator gets
+// one revision, not two.
 test('a lost or late write is repeated and takes effect once', async t => {
   const { store, editor } = setUp()
   store.writeFaults = ['requestLost', 'late', undefined]
@@ -89,22 +89,23 @@
   t.is((await editor.current('profile', 'urgent'))._unsafeUnwrap()?.revision, 1)
 })
 
-// The answer is lost, and before the editor reads back a colleague has edited the accepted change further. The first
-// operator's change was in force; being told "conflict" would be wrong, and the history proves it.
-test('a change that was superseded before the read back is still known as accepted', async t => {
+// The response is lost, and another operator edits the item again before the editor reads it back. The first operator's change
+// was in force, so a conflict would be wrong. The editor finds the change in the history.
+test('a change that was superseded before it was read back is reported as accepted', async t => {
   const { store, editor } = setUp()
   store.writeFaults = ['answerLost']
   const get = store.get.bind(store)
   store.get = key => {
     if (store.records.size === 0) return get(key)
     store.get = get
-    return editor.put(urgent(1, 'bob'), { ...URGENT_PROFILE, weight: 9 }).orTee(error => t.fail(error.message)).andThen(() => get(key)).mapErr(error => error as StoreError)
+    return editor.put(urgent(1, 'bob'), { ...URGENT_PROFILE, weight: 9 })
+      .orTee(error => t.fail(error.message)).andThen(() => get(key)).mapErr(error => error as StoreError)
   }
   t.is((await editor.put(urgent(0, 'ann'), URGENT_PROFILE))._unsafeUnwrap().revision, 1)
   t.is((await editor.current('profile', 'urgent'))._unsafeUnwrap()?.writer, 'bob')
 })
 
-// The store goes down in the middle of an edit and stays down. Neither "accepted" nor "refused" would be true.
+// The store becomes unavailable during an edit and stays unavailable. Neither "accepted" nor "refused" would be certain.
 test('an edit that can not be read back is reported as ambiguous', async t => {
   const { store, editor } = setUp()
   store.writeFaults = ['answerLost', 'answerLost', 'answerLost']
@@ -114,8 +115,8 @@
   t.true((await editor.put(urgent(0), URGENT_PROFILE))._unsafeUnwrapErr() instanceof AmbiguousError)
 })
 
-// The store is down from the start: nothing was sent, and the operator is told that nothing was changed.
-test('an unreachable store changes nothing', async t => {
+// The store is unavailable from the start. Nothing was sent, and the operator is told that nothing was changed.
+test('an edit is refused while the store is unreachable', async t => {
   const { store, editor } = setUp()
   store.isDown = true
   const error = (await editor.put(urgent(0), URGENT_PROFILE))._unsafeUnwrapErr()
@@ -123,7 +124,7 @@
   t.is(store.records.size, 0)
 })
 
-test('an edit that would leave a reference open is refused', async t => {
+test('an edit that would break a reference is refused', async t => {
   const { replica, editor } = setUp()
   const target = { kind: 'service', name: 'chip-lookup', seenRevision: 0, writer: 'ann' } as const
   const service = { name: 'chip-lookup', profile: 'urgent', team: 'recovery' }
--- a/src/runtime/config/ConfigEditor.ts
+++ b/src/runtime/config/ConfigEditor.ts
@@ -1,6 +1,6 @@
 /**
- * Changes of the configuration by operators. A change is accepted only when the store holds it for certain, and it
- * names the revision that its author saw, so that of two racing edits one wins and the other one is shown the winner.
+ * Edits the configuration for operators. A change is accepted only when it is in the store for certain. Each change names the
+ * revision that its author saw: of two concurrent edits one is accepted, and the other one fails with the accepted entry.
  */
 
 import { ResultAsync, err, ok } from 'neverthrow'
@@ -20,33 +20,33 @@
 import type { IWriterOptions } from './EntryWriter.js'
 
 /**
- * `AmbiguousError`: the store couldn't be read back, so the change may be in force or not. All others: not changed.
+ * `AmbiguousError`: the entry couldn't be read back, so the change may be in force or not. All other errors: nothing was changed.
  */
 export type EditError = RecordError | ConfigConflictError
 
 export interface IEditorOptions extends IWriterOptions {
-  /** A string that never repeats; marks each change as its author's own. */
+  /** Returns a unique string, by which an author recognizes its own change. */
   readonly newNonce: () => string
-  /** Earlier revisions kept of each thing. */
+  /** The number of earlier revisions kept of each item. */
   readonly maxHistory: number
 }
 
 export const EDITOR_DEFAULTS: Omit<IEditorOptions, 'newNonce'> = { retryPauseMs: 100, maxAttempts: 5, maxHistory: 50 }
 
-/** What is edited, by whom, on top of what. */
+/** The item to edit, the revision that the edit is based on, and the author. */
 export interface IEditTarget {
   readonly kind: ConfigKind
   readonly name: string
-  /** The revision that the operator saw; 0 for a thing that never existed. */
+  /** The revision that the operator saw; 0 for an item that never existed. */
   readonly seenRevision: number
   readonly writer: string
 }
 
-type Outcome<T> = Promise<Result<T, EditError>>
+type EditResult<T> = Promise<Result<T, EditError>>
 
 export class ConfigEditor {
-  private readonly _records: ConfigRecords
-  private readonly _writer: EntryWriter
+  private readonly _configRecords: ConfigRecords
+  private readonly _entryWriter: EntryWriter
 
   public constructor (
     store: IKeyValueStore,
@@ -54,40 +54,40 @@
     private readonly _clock: IClock & ITimers,
     private readonly _options: IEditorOptions
   ) {
-    this._records = new ConfigRecords(store, _options.maxHistory)
-    this._writer = new EntryWriter(store, this._records, _clock, _options)
+    this._configRecords = new ConfigRecords(store, _options.maxHistory)
+    this._entryWriter = new EntryWriter(store, this._configRecords, _clock, _options)
   }
 
-  /** Puts a new revision and gives the accepted entry. */
+  /** Writes a new revision and returns the accepted entry. */
   public put (target: IEditTarget, value: unknown): ResultAsync<IConfigEntry, EditError> {
     const checked = checkConfigValue(target.kind, target.name, value)
     return new ResultAsync(checked.isErr() ? Promise.resolve(err(checked.error)) : this._edit(target, checked.value))
   }
 
-  /** Puts a revision that says that the thing is gone. */
+  /** Writes a new revision that marks the item as deleted. */
   public delete (target: IEditTarget): ResultAsync<IConfigEntry, EditError> {
     return new ResultAsync(this._edit(target, undefined))
   }
 
-  /** Puts a new revision with the value of an earlier one. */
+  /** Writes a new revision with the value of an earlier one. */
   public rollback (target: IEditTarget, toRevision: number): ResultAsync<IConfigEntry, EditError> {
     return new ResultAsync(this._rollback(target, toRevision))
   }
 
-  /** What the store holds now; absent for a thing that never existed. */
+  /** Reads the current entry from the store; absent for an item that never existed. */
   public current (kind: ConfigKind, name: string): ResultAsync<IConfigEntry | undefined, EditError> {
-    return new ResultAsync<{ readonly entry: IConfigEntry | undefined }, EditError>(this._records.current(kind, name))
+    return new ResultAsync<{ readonly entry: IConfigEntry | undefined }, EditError>(this._configRecords.current(kind, name))
       .map(stored => stored.entry)
   }
 
-  /** The kept revisions, the current one included, oldest first. */
+  /** Reads the kept revisions, including the current one, oldest first. */
   public history (kind: ConfigKind, name: string): ResultAsync<readonly IConfigEntry[], EditError> {
-    return new ResultAsync<readonly IConfigEntry[], EditError>(this._records.history(kind, name))
+    return new ResultAsync<readonly IConfigEntry[], EditError>(this._configRecords.history(kind, name))
   }
 
-  private async _rollback (target: IEditTarget, toRevision: number): Outcome<IConfigEntry> {
+  private async _rollback (target: IEditTarget, toRevision: number): EditResult<IConfigEntry> {
     const { kind, name } = target
-    const earlier = await this._records.revision(kind, name, toRevision)
+    const earlier = await this._configRecords.revision(kind, name, toRevision)
     if (earlier.isErr()) return err(earlier.error)
     if (earlier.value === undefined) {
       return err(new InvalidInputError('config.rollback', `${kind} ${name}`, 'revision', `${toRevision} is not in the history`))
@@ -95,33 +95,33 @@
     return this._edit(target, earlier.value.value)
   }
 
-  private async _edit (target: IEditTarget, value: ConfigValue | undefined): Outcome<IConfigEntry> {
+  private async _edit (target: IEditTarget, value: ConfigValue | undefined): EditResult<IConfigEntry> {
     const { kind, name, seenRevision } = target
     if (!isConfigName(name)) return err(new InvalidInputError('config.edit', kind, 'name', `${JSON.stringify(name)} is malformed`))
-    const stored = await this._records.current(kind, name)
+    const stored = await this._configRecords.current(kind, name)
     if (stored.isErr()) return err(stored.error)
     const { entry, modRevision } = stored.value
     if ((entry?.revision ?? 0) !== seenRevision) return err(new ConfigConflictError(kind, name, seenRevision, entry))
     if (value === undefined && (entry === undefined || entry.deleted)) {
       return err(new InvalidInputError('config.edit', kind, 'name', `there is no ${kind} ${name} to delete`))
     }
-    const referred = checkReferences(this._replica, kind, name, value)
-    if (referred.isErr()) return err(referred.error)
-    return this._replace(entry, modRevision, this._newEntry(target, value))
+    const references = checkReferences(this._replica, kind, name, value)
+    if (references.isErr()) return err(references.error)
+    return this._replace(entry, modRevision, this._createEntry(target, value))
   }
 
-  private async _replace (old: IConfigEntry | undefined, modRevision: number, entry: IConfigEntry): Outcome<IConfigEntry> {
+  private async _replace (old: IConfigEntry | undefined, modRevision: number, entry: IConfigEntry): EditResult<IConfigEntry> {
     if (old !== undefined) {
-      const archived = await this._records.archive(old)
+      const archived = await this._configRecords.archive(old)
       if (archived.isErr()) return err(archived.error)
     }
-    const written = await this._writer.write(entry, modRevision)
+    const written = await this._entryWriter.write(entry, modRevision)
     if (written.isErr()) return err(written.error)
-    this._records.prune(entry.kind, entry.name, entry.revision)
+    this._configRecords.prune(entry.kind, entry.name, entry.revision)
     return ok(entry)
   }
 
-  private _newEntry (target: IEditTarget, value: ConfigValue | undefined): IConfigEntry {
+  private _createEntry (target: IEditTarget, value: ConfigValue | undefined): IConfigEntry {
     return {
       kind: target.kind,
       name: target.name,
--- a/src/runtime/config/ConfigRecords.ts
+++ b/src/runtime/config/ConfigRecords.ts
@@ -1,5 +1,5 @@
 /**
- * The store's records of configured things: the current entry of each, and its earlier revisions.
+ * Reads and archives the store's records of configuration items: the current entry of each item, and its earlier revisions.
  */
 
 import { err, ok } from 'neverthrow'
@@ -12,15 +12,15 @@
 import type { IKeyValueStore, IStoreRecord, StoreError } from '../Types.js'
 
 export interface IStoredEntry {
-  /** Absent for a thing that never existed. */
+  /** Absent for an item that never existed. */
   readonly entry: IConfigEntry | undefined
-  /** What a compare-and-swap must name; 0 for a thing that never existed. */
+  /** The revision that a compare-and-swap must expect; 0 for an item that never existed. */
   readonly modRevision: number
 }
 
 export type RecordError = StoreError | InvalidInputError
 
-type Outcome<T> = Promise<Result<T, RecordError>>
+type RecordResult<T> = Promise<Result<T, RecordError>>
 
 const NEVER_EXISTED: IStoredEntry = { entry: undefined, modRevision: 0 }
 const ARCHIVE_ATTEMPTS = 3
@@ -28,24 +28,24 @@
 export class ConfigRecords {
   public constructor (private readonly _store: IKeyValueStore, private readonly _maxHistory: number) {}
 
-  public async current (kind: ConfigKind, name: string): Outcome<IStoredEntry> {
+  public async current (kind: ConfigKind, name: string): RecordResult<IStoredEntry> {
     return this._read(configKey(kind, name))
   }
 
-  /** The kept revisions, the current one included, oldest first. */
-  public async history (kind: ConfigKind, name: string): Outcome<readonly IConfigEntry[]> {
+  /** Reads the kept revisions, including the current one, oldest first. */
+  public async history (kind: ConfigKind, name: string): RecordResult<readonly IConfigEntry[]> {
     const earlier = await this._store.range(historyPrefix(kind, name))
     if (earlier.isErr()) return err(earlier.error)
     const current = await this.current(kind, name)
     if (current.isErr()) return err(current.error)
-    const entries = new Map(earlier.value.records.flatMap(readable).map(entry => [entry.revision, entry]))
+    const entries = new Map(earlier.value.records.flatMap(decodeIfValid).map(entry => [entry.revision, entry]))
     const { entry } = current.value
     if (entry !== undefined) entries.set(entry.revision, entry)
     return ok([...entries.values()].sort((a, b) => a.revision - b.revision))
   }
 
-  /** One revision, current or earlier; absent when it never was or is no longer kept. */
-  public async revision (kind: ConfigKind, name: string, revision: number): Outcome<IConfigEntry | undefined> {
+  /** Reads one revision, current or earlier; absent if it never existed or is no longer kept. */
+  public async revision (kind: ConfigKind, name: string, revision: number): RecordResult<IConfigEntry | undefined> {
     const earlier = await this._read(historyKey(kind, name, revision))
     if (earlier.isErr()) return err(earlier.error)
     if (earlier.value.entry !== undefined) return ok(earlier.value.entry)
@@ -54,13 +54,13 @@
   }
 
   /**
-   * Keeps an entry before another one takes its place. Done first, because a process that dies between the two
-   * writes would else leave a hole in the history; and a writer that lost its answer finds here whether its revision
-   * was in force before somebody else's.
+   * Writes an entry to the history before it is replaced. This write comes first, because a process that dies between the
+   * two writes would otherwise leave a gap in the history. A writer whose response was lost also uses the history to find out
+   * whether its revision was in force before that of another author.
    *
-   * Repeating it is safe: the record is created once and its content is the same whoever writes it.
+   * The write may be repeated: the record is created once, and its content is the same for every writer.
    */
-  public async archive (entry: IConfigEntry): Outcome<void> {
+  public async archive (entry: IConfigEntry): RecordResult<void> {
     const key = historyKey(entry.kind, entry.name, entry.revision)
     for (let attempt = 1; ; attempt++) {
       const written = await this._store.compareAndSwap(key, 0, encodeEntry(entry))
@@ -68,11 +68,11 @@
       if (!(written.error instanceof AmbiguousError)) return err(written.error)
       const kept = await this._read(key)
       if (kept.isOk() && kept.value.entry !== undefined) return ok(undefined)
-      if (attempt === ARCHIVE_ATTEMPTS) return err(notChanged(key, written.error))
+      if (attempt === ARCHIVE_ATTEMPTS) return err(toUnchangedError(key, written.error))
     }
   }
 
-  /** Drops the revision that has become too old to keep. What fails here leaves one record too many. */
+  /** Deletes the oldest revision beyond the limit of the history. A failure leaves one record too many. */
   public async prune (kind: ConfigKind, name: string, newestRevision: number): Promise<void> {
     const key = historyKey(kind, name, newestRevision - this._maxHistory)
     if (newestRevision <= this._maxHistory) return
@@ -81,7 +81,7 @@
     if (modRevision !== undefined) await this._store.compareAndSwap(key, modRevision, undefined)
   }
 
-  private async _read (key: string): Outcome<IStoredEntry> {
+  private async _read (key: string): RecordResult<IStoredEntry> {
     const record = await this._store.get(key)
     if (record.isErr()) return err(record.error)
     if (record.value === undefined) return ok(NEVER_EXISTED)
@@ -90,11 +90,11 @@
   }
 }
 
-function readable (record: IStoreRecord): readonly IConfigEntry[] {
+function decodeIfValid (record: IStoreRecord): readonly IConfigEntry[] {
   return decodeEntry(record.key, record.value).match(entry => [entry], () => [])
 }
 
-/** The entry itself wasn't touched yet, so what is ambiguous about its history leaves the edit undone for certain. */
-function notChanged (key: string, cause: AmbiguousError): UnreachableError {
+/** The current entry was not written yet, so the edit had no effect, even if the write to the history is ambiguous. */
+function toUnchangedError (key: string, cause: AmbiguousError): UnreachableError {
   return new UnreachableError('config.archive', key, 'the store did not confirm the history', { cause })
 }
--- a/src/runtime/config/ConfigWatcher.test.ts
+++ b/src/runtime/config/ConfigWatcher.test.ts
@@ -25,7 +25,7 @@
   return { store, clock, replica, watcher, seeder, editor }
 }
 
-test('a new cell gets the default profiles, and edits reach the replica', async t => {
+test('the default profiles are created in a new cell, and edits reach the replica', async t => {
   const { replica, watcher, seeder, editor, store } = setUp()
   const applied: string[] = []
   watcher.onApplied(entries => applied.push(...entries.map(entry => `${entry.name}@${entry.revision}`)))
@@ -41,9 +41,9 @@
   t.is(store.callCount, calls)
 })
 
-// A host is replaced while the store is down. Without its peers the new process would know no profile and refuse
-// every request until the store is back.
-test('a process that starts in an outage takes the configuration from its peers, and the store when it is back', async t => {
+// A host is replaced during an outage of the store. Without its peers, the new process would have no profile and refuse
+// every request until the store is available again.
+test('a process that starts during an outage reads the configuration from its peers, and later from the store', async t => {
   const { store, clock, replica, watcher, seeder } = setUp([PEER_ENTRY, { ...PEER_ENTRY, name: 'Bad Name' }])
   store.isDown = true
   await watcher.start()
@@ -57,9 +57,9 @@
   t.is(replica.profile('urgent')?.revision, 4)
 })
 
-// Something other than this product writes into the store or removes a key there. Applying it would take the profile
-// away from callers; the last good revision stays in force.
-test('malformed entries and removed keys leave the last good revision in force', async t => {
+// Another program writes malformed entries to the store or removes a key. If the process applied such a change, callers
+// would lose the profile.
+test('the last valid revision stays in force after malformed entries and removed keys', async t => {
   const { store, replica, watcher, seeder } = setUp()
   await watcher.start()
   await seeder.seed()
--- a/src/runtime/config/ConfigWatcher.ts
+++ b/src/runtime/config/ConfigWatcher.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps a process's copy of the configuration up to date: from the store's watch, and from peers while a starting
- * process can't reach the store.
+ * Updates the configuration replica of a process from a watch on the store, and from peers while the store is unreachable
+ * at the start of the process.
  */
 
 import { Emitter } from '../../common/Emitter.js'
@@ -13,21 +13,21 @@
 import type { IKeyValueStore, IStoreChange, IStoreRange, IStoreRecord } from '../Types.js'
 
 export interface IConfigWatcherOptions {
-  /** The pause between two tries to read the store at start, in milliseconds. */
+  /** The pause between two attempts to read the store at the start, in milliseconds. */
   readonly retryMs: number
-  /** Asks any peer for its entries; gives none where there is no peer. Must not reject. */
+  /** Fetches the entries of any peer; empty without a peer. Must not reject. */
   readonly entriesOfPeers: () => Promise<readonly IConfigEntry[]>
 }
 
 export class ConfigWatcher implements IDisposable {
   private readonly _onApplied = new Emitter<readonly IConfigEntry[]>()
   private readonly _onReachable = new Emitter<boolean>()
-  private _running: IDisposable | undefined
+  private _subscription: IDisposable | undefined
   private _isDisposed = false
 
-  /** Fires with the entries that changed this process's copy. */
+  /** Fires with the entries that changed the replica of this process. */
   public readonly onApplied = this._onApplied.event
-  /** Fires when the store goes out of reach (false) or comes back (true). */
+  /** Fires when the store becomes unreachable (false) or reachable again (true). */
   public readonly onReachable = this._onReachable.event
 
   public constructor (
@@ -39,60 +39,60 @@
   ) {}
 
   /**
-   * Reads all entries and follows them. Settles after the first try: with the store's entries, or with those of the
-   * peers while the store is out of reach; the store is then tried again until it answers.
+   * Reads all entries and watches them. Resolves after the first attempt, with the entries of the store or, while it is
+   * unreachable, with those of the peers. The read of the store is then retried until it succeeds.
    */
   public async start (): Promise<void> {
     const range = await this._store.range(CONFIG_PREFIX)
     if (this._isDisposed) return
-    if (range.isOk()) return this._follow(range.value)
+    if (range.isOk()) return this._watchStore(range.value)
     this._logger.warn('config.storeUnreachable', errorFields(range.error))
-    this._running = this._timers.after(this._options.retryMs, () => this.start())
+    this._subscription = this._timers.after(this._options.retryMs, () => this.start())
     this.applyFromPeer(await this._options.entriesOfPeers())
   }
 
-  /** Takes what a peer says; entries that break a bound are logged and left out. */
+  /** Applies the entries of a peer. Invalid entries are logged and skipped. */
   public applyFromPeer (entries: readonly IConfigEntry[]): void {
-    this._apply(entries.flatMap(entry => this._keepValid(checkEntry('peer', entry))))
+    this._applyEntries(entries.flatMap(entry => this._skipInvalid(checkEntry('peer', entry))))
   }
 
   public dispose (): void {
     this._isDisposed = true
-    this._running?.dispose()
+    this._subscription?.dispose()
     this._onApplied.dispose()
     this._onReachable.dispose()
   }
 
-  private _follow (range: IStoreRange): void {
-    this._takeRecords(range.records)
-    this._running = this._store.watch(CONFIG_PREFIX, range.revision, {
-      onChanges: changes => this._takeChanges(changes),
-      onReset: whole => this._takeRecords(whole.records),
+  private _watchStore (range: IStoreRange): void {
+    this._applyRecords(range.records)
+    this._subscription = this._store.watch(CONFIG_PREFIX, range.revision, {
+      onChanges: changes => this._applyChanges(changes),
+      onReset: whole => this._applyRecords(whole.records),
       onReachable: reachable => this._onReachable.fire(reachable)
     })
   }
 
   /**
-   * A deletion by an operator is an entry like any other. A key that vanishes from the store was removed past the
-   * operator interface; its last revision stays in force, because processes that restart later can't tell it from a
-   * thing that never existed, while the others would go on with it.
+   * Applies changed records. An operator's deletion is stored as an entry. A removed key was not removed through the operator
+   * interface, and its last revision stays in force here. Only processes that restart later don't have the item, because they
+   * can't tell it from one that never existed.
    */
-  private _takeChanges (changes: readonly IStoreChange[]): void {
+  private _applyChanges (changes: readonly IStoreChange[]): void {
     for (const gone of changes.filter(change => change.deleted)) this._logger.error('config.keyRemoved', { key: gone.key })
-    this._takeRecords(changes.filter(change => !change.deleted))
+    this._applyRecords(changes.filter(change => !change.deleted))
   }
 
-  private _takeRecords (records: readonly IStoreRecord[]): void {
-    this._apply(records.flatMap(record => this._keepValid(decodeEntry(record.key, record.value))))
+  private _applyRecords (records: readonly IStoreRecord[]): void {
+    this._applyEntries(records.flatMap(record => this._skipInvalid(decodeEntry(record.key, record.value))))
   }
 
-  private _keepValid (checked: ReturnType<typeof decodeEntry>): readonly IConfigEntry[] {
+  private _skipInvalid (checked: ReturnType<typeof decodeEntry>): readonly IConfigEntry[] {
     if (checked.isOk()) return [checked.value]
     this._logger.error('config.invalidEntry', errorFields(checked.error))
     return []
   }
 
-  private _apply (entries: readonly IConfigEntry[]): void {
+  private _applyEntries (entries: readonly IConfigEntry[]): void {
     const applied = this._replica.apply(entries)
     if (applied.length === 0) return
     for (const { kind, name, revision, deleted } of applied) this._logger.info('config.applied', { kind, name, revision, deleted })
--- a/src/runtime/config/DefaultsSeeder.ts
+++ b/src/runtime/config/DefaultsSeeder.ts
@@ -1,6 +1,6 @@
 /**
- * Writes the default profiles into a new cell. Each is created only where nothing stands, a deleted one included, so
- * neither a race of starting processes nor a restart ever undoes an operator's edit.
+ * Writes the default profiles to the store of a new cell. A profile is created only if the store has no entry for it, not even
+ * a deleted one, so neither a race of starting processes nor a restart undoes an operator's edit.
  */
 
 import { ConflictError } from '../../common/Errors.js'
@@ -23,22 +23,22 @@
   ) {}
 
   /**
-   * Call once the store's entries are applied; costs no store call where the defaults stand. What fails here is tried
-   * again by the next process that starts.
+   * Creates the missing default profiles. Call it after the entries of the store have been applied; it makes no store call if
+   * no profile is missing. After a failure, the next process that starts tries again.
    */
   public async seed (): Promise<void> {
     const missing = DEFAULT_PROFILES.filter(profile => this._replica.get('profile', profile.name) === undefined)
-    for (const profile of missing) await this._create(profile)
+    for (const profile of missing) await this._createProfile(profile)
   }
 
-  private async _create (profile: IProfile): Promise<void> {
-    const entry = this._entryOf(profile)
+  private async _createProfile (profile: IProfile): Promise<void> {
+    const entry = this._toEntry(profile)
     const created = await this._store.compareAndSwap(configKey('profile', profile.name), 0, encodeEntry(entry))
     if (created.isOk()) this._logger.info('config.defaultCreated', { name: profile.name })
     else if (!(created.error instanceof ConflictError)) this._logger.warn('config.defaultFailed', errorFields(created.error))
   }
 
-  private _entryOf (profile: IProfile): IConfigEntry {
+  private _toEntry (profile: IProfile): IConfigEntry {
     return {
       kind: 'profile',
       name: profile.name,
--- a/src/runtime/config/EntryWriter.ts
+++ b/src/runtime/config/EntryWriter.ts
@@ -1,5 +1,5 @@
 /**
- * Replaces one entry in the store and finds out for certain whether that took effect.
+ * Replaces an entry in the store, and finds out whether the write took effect.
  */
 
 import { err, ok } from 'neverthrow'
@@ -14,19 +14,19 @@
 import type { ConfigRecords } from './ConfigRecords.js'
 
 export interface IWriterOptions {
-  /** The pause before the first repetition after a lost answer, in milliseconds; doubles each time. */
+  /** The pause before the first retry after a lost response, in milliseconds; it doubles with each retry. */
   readonly retryPauseMs: number
   readonly maxAttempts: number
 }
 
-type Verdict =
+type WriteOutcome =
   | { readonly type: 'inForce' }
   | { readonly type: 'lost', readonly current: IConfigEntry }
-  /** Not seen in the store, but the write may still be on its way. */
+  /** The store doesn't contain the entry, but the write may still arrive. */
   | { readonly type: 'open' }
 
-const OPEN: Verdict = { type: 'open' }
-const IN_FORCE: Verdict = { type: 'inForce' }
+const OPEN: WriteOutcome = { type: 'open' }
+const IN_FORCE: WriteOutcome = { type: 'inForce' }
 
 export class EntryWriter {
   public constructor (
@@ -37,58 +37,58 @@
   ) {}
 
   /**
-   * Writes `entry` in place of the record with `modRevision`.
+   * Replaces the record with `modRevision` by `entry`.
    *
-   * The store's answer may be lost after the change took effect. Whoever reports a failure then is contradicted by
-   * every process a moment later; whoever reports success may be wrong, because the write may not have arrived or
-   * may arrive later. So it reads back, looks for its own nonce, and repeats the same compare-and-swap, which takes
-   * effect at most once. Only when the store stays out of reach is the answer `AmbiguousError`.
+   * The store's response may be lost after the change took effect. A reported failure would then be wrong, because every
+   * process applies the change a moment later. A reported success may be wrong too, because the write may not have arrived,
+   * or may arrive later. Therefore this method reads the entry back, looks for its own nonce, and repeats the same
+   * compare-and-swap, which takes effect at most once. It returns `AmbiguousError` only if the store stays unreachable.
    */
   public async write (entry: IConfigEntry, modRevision: number): Promise<Result<IConfigEntry, StoreError | ConfigConflictError>> {
     const key = configKey(entry.kind, entry.name)
     const text = encodeEntry(entry)
     for (let attempt = 1; ; attempt++) {
-      const swap = await this._store.compareAndSwap(key, modRevision, text)
-      if (swap.isOk()) return ok(entry)
-      const isDefinite = attempt === 1 && !(swap.error instanceof AmbiguousError)
-      if (isDefinite && !(swap.error instanceof ConflictError)) return err(swap.error)
-      const verdict = await this._verdict(entry)
-      if (verdict.type === 'inForce') return ok(entry)
-      if (verdict.type === 'lost') return err(conflict(entry, verdict.current))
-      if (isDefinite) return err(swap.error)
-      if (attempt === this._options.maxAttempts) return err(ambiguous(key, swap.error))
-      await this._pause(attempt)
+      const written = await this._store.compareAndSwap(key, modRevision, text)
+      if (written.isOk()) return ok(entry)
+      const isDefinite = attempt === 1 && !(written.error instanceof AmbiguousError)
+      if (isDefinite && !(written.error instanceof ConflictError)) return err(written.error)
+      const outcome = await this._readOutcome(entry)
+      if (outcome.type === 'inForce') return ok(entry)
+      if (outcome.type === 'lost') return err(toConflictError(entry, outcome.current))
+      if (isDefinite) return err(written.error)
+      if (attempt === this._options.maxAttempts) return err(toAmbiguousError(key, written.error))
+      await this._pauseBeforeRetry(attempt)
     }
   }
 
-  private async _verdict (entry: IConfigEntry): Promise<Verdict> {
+  private async _readOutcome (entry: IConfigEntry): Promise<WriteOutcome> {
     const stored = await this._records.current(entry.kind, entry.name)
     if (stored.isErr()) return OPEN
     const current = stored.value.entry
     if (current?.nonce === entry.nonce) return IN_FORCE
     if (current === undefined || current.revision < entry.revision) return OPEN
     if (current.revision === entry.revision) return { type: 'lost', current }
-    return this._supersededVerdict(entry, current)
+    return this._readArchivedOutcome(entry, current)
   }
 
-  /** A later revision is in force: its author has kept the one before, which is ours or that of another author. */
-  private async _supersededVerdict (entry: IConfigEntry, current: IConfigEntry): Promise<Verdict> {
+  /** A later revision is in force. Its author has archived the one before, which is `entry` or the revision of another author. */
+  private async _readArchivedOutcome (entry: IConfigEntry, current: IConfigEntry): Promise<WriteOutcome> {
     const kept = await this._records.revision(entry.kind, entry.name, entry.revision)
     const nonce = kept.isOk() ? kept.value?.nonce : undefined
     if (nonce === undefined) return OPEN
     return nonce === entry.nonce ? IN_FORCE : { type: 'lost', current }
   }
 
-  private _pause (attempt: number): Promise<void> {
+  private _pauseBeforeRetry (attempt: number): Promise<void> {
     const pauseMs = this._options.retryPauseMs * 2 ** (attempt - 1)
     return new Promise(resolve => { this._timers.after(pauseMs, resolve) })
   }
 }
 
-function conflict (entry: IConfigEntry, current: IConfigEntry): ConfigConflictError {
+function toConflictError (entry: IConfigEntry, current: IConfigEntry): ConfigConflictError {
   return new ConfigConflictError(entry.kind, entry.name, entry.revision - 1, current)
 }
 
-function ambiguous (key: string, cause: unknown): AmbiguousError {
+function toAmbiguousError (key: string, cause: unknown): AmbiguousError {
   return new AmbiguousError('config.edit', key, 'the store did not confirm the change; it may be in force or not', { cause })
 }
--- a/src/runtime/settings/ControllerSettings.ts
+++ b/src/runtime/settings/ControllerSettings.ts
@@ -1,5 +1,5 @@
 /**
- * The settings of a controller process: read from INI, checked whole, every mistake reported at once.
+ * Parses and validates the INI settings of a controller process, and reports all mistakes at once.
  */
 
 import { err, ok } from 'neverthrow'
@@ -27,7 +27,7 @@
     region: simpleName(),
     failureDomain: simpleName(),
     processorShare: number(0.01, 1, 'the machine\'s processor'),
-    processorSpeed: number(0.01, 1000, 'cores that the processor is worth')
+    processorSpeed: number(0.01, 1000, 'cores that the processor corresponds to')
   }),
   callers: z.strictObject({ listen: listenAddress() }),
   readiness: z.strictObject({ listen: listenAddress() }),
@@ -50,7 +50,7 @@
 
 const SECTION_NAMES = Object.keys(SECTIONS) as readonly SectionName[]
 
-/** Never throws; the error lists everything that must be mended. */
+/** Parses the text of a settings file. Never throws; the error lists all mistakes. */
 export function loadControllerSettings (text: string): Result<IControllerSettings, SettingsError> {
   const ini = readIni(text)
   const problems: ISettingsProblem[] = [...ini.problems]
--- a/src/runtime/settings/IniScan.ts
+++ b/src/runtime/settings/IniScan.ts
@@ -1,5 +1,5 @@
 /**
- * Goes through the lines of an INI text, keeps those that mean what they say, and reports the others.
+ * Checks the lines of an INI text. Keeps the lines that the INI library reads as they are written, and reports the others.
  */
 
 import type { ISettingsProblem } from './SettingsError.js'
@@ -7,46 +7,46 @@
 const SECTION_LINE = /^\[([A-Za-z0-9]+)\]$/
 const KEY_LINE = /^([A-Za-z0-9]+)\s*=(.*)$/
 const COMMENT_LINE = /^[;#]/
-/** A comment sign right after a character, as in `token = a#b`. */
-const CUT_VALUE = /^[^"';#][^;#]*(?<!\s)[;#]/
-const HALF_QUOTED = /^("(?!.*"$)|'(?!.*'$)|["']$)/
+/** A value with a comment character that follows another character directly, as in `token = a#b`. */
+const TRUNCATED_VALUE = /^[^"';#][^;#]*(?<!\s)[;#]/
+const UNTERMINATED_QUOTE = /^("(?!.*"$)|'(?!.*'$)|["']$)/
 
 export class IniScan {
   public readonly problems: ISettingsProblem[] = []
-  public readonly goodLines: string[] = []
-  private readonly _seen = new Set<string>()
+  public readonly validLines: string[] = []
+  private readonly _seenPlaces = new Set<string>()
   private _section: string | undefined
 
-  public take (line: string, lineNumber: number): void {
+  public checkLine (line: string, lineNumber: number): void {
     if (line === '' || COMMENT_LINE.test(line)) return
     const section = SECTION_LINE.exec(line)?.[1]
     const pair = KEY_LINE.exec(line)
     if (section !== undefined) this._openSection(section, line)
-    else if (pair !== null) this._addKey(pair[1] ?? '', (pair[2] ?? '').trim(), line)
+    else if (pair !== null) this._checkKey(pair[1] ?? '', (pair[2] ?? '').trim(), line)
     else this._report('', `line ${lineNumber} must be "[section]", "key = value" or a comment`)
   }
 
   private _openSection (section: string, line: string): void {
     this._section = section
-    if (!this._isFirst(`[${section}]`)) this._report('', 'stands twice; join the two sections')
-    this.goodLines.push(line)
+    if (!this._addPlace(`[${section}]`)) this._report('', 'occurs twice; merge the two sections')
+    this.validLines.push(line)
   }
 
-  private _addKey (key: string, value: string, line: string): void {
-    if (this._section === undefined) this._report(key, 'must stand below a section')
-    else if (!this._isFirst(`[${this._section}] ${key}`)) this._report(key, 'stands twice; keep one')
-    else if (CUT_VALUE.test(value)) this._report(key, 'must be in double quotes, because it holds ; or #')
-    else if (HALF_QUOTED.test(value)) this._report(key, 'must end with the quote it starts with, and nothing after it')
-    else this.goodLines.push(line)
+  private _checkKey (key: string, value: string, line: string): void {
+    if (this._section === undefined) this._report(key, 'must be inside a section')
+    else if (!this._addPlace(`[${this._section}] ${key}`)) this._report(key, 'occurs twice; keep one of the lines')
+    else if (TRUNCATED_VALUE.test(value)) this._report(key, 'must be in double quotes, because it contains ; or #')
+    else if (UNTERMINATED_QUOTE.test(value)) this._report(key, 'must end with the quote it starts with, and nothing after it')
+    else this.validLines.push(line)
   }
 
-  private _isFirst (place: string): boolean {
-    if (this._seen.has(place)) return false
-    this._seen.add(place)
+  private _addPlace (place: string): boolean {
+    if (this._seenPlaces.has(place)) return false
+    this._seenPlaces.add(place)
     return true
   }
 
-  /** Shows no value: the broken line may hold a secret. */
+  /** Reports a line without its value, because the malformed line may contain a secret. */
   private _report (key: string, allowed: string): void {
     this.problems.push({ section: this._section ?? '', key, value: '', allowed })
   }
--- a/src/runtime/settings/IniText.ts
+++ b/src/runtime/settings/IniText.ts
@@ -1,7 +1,7 @@
 /**
- * Reads INI text into sections of plain strings. The library is lenient: it keeps the last of two equal keys, takes a
- * line without `=` as true, and cuts a value at the first `#` or `;`. A lost or shortened setting would show only much
- * later, as a process that acts on a default, so these lines are reported instead and left out.
+ * Parses INI text into sections of strings. The INI library is lenient: it keeps the last of two equal keys, reads a line
+ * without `=` as true, and truncates a value at the first `#` or `;`. A lost or truncated setting would be noticed only much
+ * later, when the process uses a default. Therefore such lines are reported and skipped.
  */
 
 import { parse } from 'ini'
@@ -11,17 +11,17 @@
 
 export type IniSection = Readonly<Record<string, string>>
 
-export interface IIniText {
+export interface IIniContent {
   readonly sections: ReadonlyMap<string, IniSection>
   readonly problems: readonly ISettingsProblem[]
 }
 
-/** Never throws, whatever the text. */
-export function readIni (text: string): IIniText {
-  const scan = new IniScan()
+/** Parses INI text. Never throws. */
+export function readIni (text: string): IIniContent {
+  const checker = new IniScan()
   const lines = text.split(/\r\n|\n|\r/)
-  lines.forEach((line, index) => scan.take(line.trim(), index + 1))
-  return { sections: toSections(parse(scan.goodLines.join('\n'))), problems: scan.problems }
+  lines.forEach((line, index) => checker.checkLine(line.trim(), index + 1))
+  return { sections: toSections(parse(checker.validLines.join('\n'))), problems: checker.problems }
 }
 
 function toSections (parsed: Readonly<Record<string, unknown>>): ReadonlyMap<string, IniSection> {
--- a/src/runtime/settings/SettingsDefaults.ts
+++ b/src/runtime/settings/SettingsDefaults.ts
@@ -1,5 +1,5 @@
 /**
- * The defaults of all settings, in the units that the key names carry.
+ * The defaults of all settings, in the units that the key names state.
  */
 
 const KIB = 1024
@@ -7,7 +7,7 @@
 const SECOND_MS = 1000
 const HOUR_MS = 3600 * SECOND_MS
 
-/** Room for the envelope of a message beside a body of 1 MiB. */
+/** The space for the envelope of a message in addition to a body of 1 MiB. */
 const ENVELOPE_BYTES = 64 * KIB
 
 export const SETTINGS_DEFAULTS = {
--- a/src/runtime/settings/SettingsFields.ts
+++ b/src/runtime/settings/SettingsFields.ts
@@ -1,5 +1,6 @@
 /**
- * The kinds of values that settings take, each checked from its text and described in words for the error message.
+ * Schemas for the values of settings. Each parses and checks the text of a value, and describes the allowed values for error
+ * messages.
  */
 
 import { isIP } from 'node:net'
@@ -24,16 +25,16 @@
   return z.string().regex(NAME_PATTERN).describe('must be 1 to 63 letters, digits, dots, dashes or underscores')
 }
 
-/** Names in one line with commas between. */
+/** Different names, separated by commas. */
 export function nameList () {
   return z.string()
     .transform(text => text.split(',').map(name => name.trim()))
     .pipe(z.array(z.string().regex(NAME_PATTERN)).min(1).max(64))
     .refine(names => new Set(names).size === names.length)
-    .describe('must be 1 to 64 different names with commas between')
+    .describe('must be 1 to 64 different names, separated by commas')
 }
 
-/** One of a few words. */
+/** One of the given words. */
 export function oneOf<const T extends readonly [string, ...string[]]> (words: T) {
   return z.enum(words).describe(`must be one of ${words.join(', ')}`)
 }
@@ -43,20 +44,20 @@
     .describe(`must be ${MIN_SECRET_CHARS} to ${MAX_SECRET_CHARS} printable characters without spaces`)
 }
 
-/** An address by IP number, never by name: no process waits for a name service. */
+/** An address with an IP number, never a host name, so that no process waits for a name service. */
 export function listenAddress () {
-  return z.string().transform((text, context) => parseListen(text) ?? failed(context))
+  return z.string().transform((text, context) => parseListen(text) ?? reportMalformed(context))
     .describe(`must be ip:port, for example 10.0.0.7:7100 or [fd00::7]:7100, with a port from 0 to ${MAX_PORT}`)
 }
 
-/** Processes to turn to first, as `id@ip:port` with commas between. */
+/** The processes to contact first, as `id@ip:port`, separated by commas. */
 export function seedList () {
   return z.string()
     .transform((text, context) => {
       const seeds = text.split(',').map(seed => parseSeed(seed.trim()))
-      return seeds.some(seed => seed === undefined) ? failed(context) : seeds as readonly ISeedSettings[]
+      return seeds.some(seed => seed === undefined) ? reportMalformed(context) : seeds as readonly ISeedSettings[]
     })
-    .describe('must be id@ip:port with commas between, for example scheduler-1@10.0.0.7:7101')
+    .describe('must be one or several id@ip:port, separated by commas, for example scheduler-1@10.0.0.7:7101')
 }
 
 function parseSeed (text: string): ISeedSettings | undefined {
@@ -69,7 +70,7 @@
   return z.string().refine(isIpUrl).describe('must be a URL by IP number, for example http://10.0.0.9:2379')
 }
 
-function failed (context: z.RefinementCtx): never {
+function reportMalformed (context: z.RefinementCtx): never {
   context.addIssue({ code: 'custom', message: 'malformed' })
   return z.NEVER
 }
--- a/src/runtime/settings/SettingsLoader.test.ts
+++ b/src/runtime/settings/SettingsLoader.test.ts
@@ -33,7 +33,7 @@
   t.deepEqual(settings.caller?.listen, { ip: '10.20.1.11', port: 8080 })
 })
 
-test('reports every mistake at once, with what is allowed, and shows no secret', t => {
+test('reports all mistakes at once, with the allowed values and without secrets', t => {
   const text = GATEWAY
     .replace('role = gateway', 'role = gatway')
     .replace('pollMs = 1000', 'pollMs = soon\npolMs = 5')
@@ -50,7 +50,7 @@
   t.false(error.message.includes('secret"'))
 })
 
-test('refuses what the INI library would silently lose: repeated keys, cut values, keys outside sections', t => {
+test('reports what the INI library would silently drop: repeated keys, truncated values, keys outside sections', t => {
   t.deepEqual(problemsOf(`stray = 1\n${GATEWAY}`), ['.stray'])
   t.deepEqual(problemsOf(`${GATEWAY}\nlevel = debug`), ['log.level'])
   t.deepEqual(problemsOf(`${GATEWAY}\n[log]`), ['log.'])
@@ -58,7 +58,7 @@
   t.deepEqual(problemsOf(GATEWAY.replace('level = info', 'level = "info" ; a comment')), ['log.level'])
 })
 
-test('knows what belongs to which role', t => {
+test('reports settings that do not fit the role, another setting or the required form', t => {
   t.deepEqual(problemsOf(GATEWAY.replace('role = gateway', 'role = scheduler')), ['caller.'])
   t.deepEqual(problemsOf(GATEWAY.replace(/\[caller\][^[]*/, '')), ['caller.'])
   t.deepEqual(problemsOf(GATEWAY.replace('10.20.1.11:7101', '10.20.1.11:0')), ['process.id'])
@@ -66,7 +66,7 @@
   t.deepEqual(problemsOf(GATEWAY.replace('http://10.20.0.10:2379', 'http://store.example:2379')), ['store.url'])
 })
 
-test('any text gives settings or a clear error, never a crash', t => {
+test('any text results in settings or an error that lists the mistakes, and never throws', t => {
   const words = fc.constantFrom('[process]', '[peer]', '[__proto__]', 'role', '=', 'gateway', '"', "'", '\\', ';', '#', '[', ']', '\n',
     '__proto__ = 1', 'constructor = x', 'listen = 1.2.3.4:99999', 'a[] = 1', 'null', '\u0000', '\r')
   const texts = fc.oneof(fc.string({ maxLength: 300 }), fc.array(words, { maxLength: 60 }).map(parts => parts.join(' ')))
--- a/src/runtime/settings/SettingsLoader.ts
+++ b/src/runtime/settings/SettingsLoader.ts
@@ -1,5 +1,5 @@
 /**
- * Checks a whole settings file before a process does anything else, and reports every mistake at once.
+ * Parses and validates a whole settings file at the start of a process, and reports all mistakes at once.
  */
 
 import { err, ok } from 'neverthrow'
@@ -21,7 +21,7 @@
 const MAX_SHOWN_CHARS = 60
 
 export class SettingsLoader {
-  /** Reads the text of a settings file. The error lists everything that must be mended; nothing is thrown. */
+  /** Parses the text of a settings file. Never throws; the error lists all mistakes. */
   public load (text: string): Result<ISettings, SettingsError> {
     const ini = readIni(text)
     const problems = [...ini.problems, ...this._unknownSections(ini.sections)]
@@ -29,7 +29,7 @@
       .filter(name => name !== 'caller' || ini.sections.has('caller'))
       .map(name => [name, this._checkSection(name, ini.sections.get(name) ?? {}, problems)] as const)
     problems.push(...checkRelations(ini.sections))
-    if (problems.length > 0) return err(new SettingsError(firstPerPlace(problems)))
+    if (problems.length > 0) return err(new SettingsError(keepFirstPerKey(problems)))
     return ok(toSettings(Object.fromEntries(checked) as unknown as Sections))
   }
 
@@ -56,7 +56,7 @@
   const key = String(issue.path[0] ?? '')
   const allowed = describeField(fields[key])
   const isMissing = !Object.hasOwn(values, key)
-  return [{ section, key, value: shownValue(key, values[key]), allowed: isMissing ? `is missing; ${allowed}` : allowed }]
+  return [{ section, key, value: formatValue(key, values[key]), allowed: isMissing ? `is missing; ${allowed}` : allowed }]
 }
 
 function describeField (field: z.ZodType | undefined): string {
@@ -65,14 +65,14 @@
   return field.description ?? inner?.description ?? 'is not allowed'
 }
 
-function shownValue (key: string, value: string | undefined): string {
+function formatValue (key: string, value: string | undefined): string {
   if (value === undefined) return ''
   if (SECRET_KEYS.has(key)) return '(hidden)'
   return value.length <= MAX_SHOWN_CHARS ? value : `${value.slice(0, MAX_SHOWN_CHARS)}…`
 }
 
-/** A broken line also leaves its key missing: the first report tells the cause, the others would only repeat it. */
-function firstPerPlace (problems: readonly ISettingsProblem[]): readonly ISettingsProblem[] {
+/** Keeps the first problem of each key. A malformed line also makes its key missing, which would only repeat the first problem. */
+function keepFirstPerKey (problems: readonly ISettingsProblem[]): readonly ISettingsProblem[] {
   const seen = new Set<string>()
   return problems.filter(({ section, key }) => {
     const place = `[${section}] ${key}`
--- a/src/runtime/settings/SettingsSchema.ts
+++ b/src/runtime/settings/SettingsSchema.ts
@@ -1,5 +1,5 @@
 /**
- * Every section and key of a settings file, with its bounds. A key or section that isn't listed here is an error.
+ * The sections and keys of a settings file, with their bounds. A key or section that isn't listed here is an error.
  */
 
 import * as z from 'zod'
--- a/src/runtime/settings/Types.ts
+++ b/src/runtime/settings/Types.ts
@@ -1,5 +1,5 @@
 /**
- * What a process is told by its settings file, checked and with the defaults filled in.
+ * The types of the settings of a process, after validation and with the defaults filled in.
  */
 
 import type { LogLevel } from '../../common/observability/Types.js'
@@ -9,12 +9,12 @@
 /** An address to listen on, by IP number. */
 export interface IListenAddress {
   readonly ip: string
-  /** 0 takes any free port; `process.id` must be given then. */
+  /** 0 binds any free port; `process.id` must be given then. */
   readonly port: number
 }
 
 export interface IProcessSettings {
-  /** Stays the same over restarts. Derived from role and peer address where the file gives none. */
+  /** The same after restarts. Derived from the role and the peer address if the file contains none. */
   readonly id: string
   readonly role: ProcessRole
   readonly region: string
@@ -26,42 +26,42 @@
   readonly regions: readonly string[]
 }
 
-/** The callers' side of a gateway. */
+/** The listener for callers, in a gateway. */
 export interface ICallerSettings {
   readonly listen: IListenAddress
-  /** The largest request and answer body, in bytes. */
+  /** The largest body of a request or a response, in bytes. */
   readonly maxBodyBytes: number
   /** How long a caller may take to send its whole request, in milliseconds. */
   readonly requestTimeoutMs: number
 }
 
-/** The operators' side, apart from the callers'. */
+/** The listener for operators, separate from that for callers. */
 export interface IOperatorSettings {
   readonly listen: IListenAddress
-  /** The bearer token that every operator request must show. */
+  /** The bearer token that every operator request must contain. */
   readonly token: string
 }
 
-/** A process that a starting one may turn to. */
+/** A process that a starting process may contact. */
 export interface ISeedSettings {
   readonly processId: string
   /** `ws://ip:port`. */
   readonly peerUrl: string
 }
 
-/** The links between the system's own processes. */
+/** The links between the processes of the cell. */
 export interface IPeerSettings {
   readonly listen: IListenAddress
-  /** What peers prove that they know before a message is read. */
+  /** The key that a peer must prove to know before its messages are read. */
   readonly sharedKey: string
-  /** Where peers reach this process, if that is not where it listens. */
+  /** The address at which peers reach this process, if it differs from the address it listens on. */
   readonly advertise?: IListenAddress | undefined
   readonly heartbeatMs: number
-  /** A link that was silent for so long counts as lost, in milliseconds. */
+  /** A link that was silent for this time counts as lost, in milliseconds. */
   readonly silenceMs: number
-  /** The largest message taken from a peer, in bytes. */
+  /** The largest message accepted from a peer, in bytes. */
   readonly maxMessageBytes: number
-  /** Whom to ask first when the store can't tell who is there. */
+  /** The processes to contact first while the store is unreachable. */
   readonly seeds: readonly ISeedSettings[]
 }
 
@@ -78,19 +78,19 @@
 }
 
 export interface ILimitSettings {
-  /** Requests that one process holds at once; further ones are refused. */
+  /** The limit of concurrent requests in one process; further ones are refused. */
   readonly maxInFlight: number
-  /** Bytes of request bodies that one process holds at once; further requests are refused. It has 128 MB in all. */
+  /** The limit of bytes of request bodies in one process, of 128 MB for the whole process; further requests are refused. */
   readonly maxInFlightBytes: number
-  /** Connections that one listener holds at once. */
+  /** The limit of concurrent connections of one listener. */
   readonly maxConnections: number
   readonly maxHeaderBytes: number
   readonly maxHeaderCount: number
   /** How long a client may take to send its headers, in milliseconds. */
   readonly headersTimeoutMs: number
-  /** How long a planned stop waits for work in flight, in milliseconds. */
+  /** How long a planned stop waits for requests in progress, in milliseconds. */
   readonly drainMs: number
-  /** How long a stopping gateway still takes connections, until the balancer has seen its health check fail, in milliseconds. */
+  /** How long a stopping gateway accepts connections, until the load balancer has noticed its failing health check, in milliseconds. */
   readonly drainNoticeMs: number
   /** The largest state dump, in bytes. */
   readonly maxDumpBytes: number
@@ -98,17 +98,17 @@
 
 /** The claims of non-idempotent requests. */
 export interface IIdSettings {
-  /** Slices of the request-id space; the same in every process of the cell. */
+  /** The number of shards of the request-id space; the same in every process of the cell. */
   readonly idShards: number
-  /** How long a claim is remembered, in milliseconds. */
+  /** How long a claim is kept, in milliseconds. */
   readonly claimRetentionMs: number
-  /** Store writes per second that the whole fleet may spend on claims. */
+  /** The limit of store writes per second for claims, in the whole fleet. */
   readonly storeWritesPerSecond: number
 }
 
 export interface ILogSettings {
   readonly level: LogLevel
-  /** Lines per second of one event; further ones are counted and reported as a number. */
+  /** Lines per second of one event; further ones are suppressed and counted. */
   readonly maxLinesPerSecond: number
 }
 
