--- a/src/runtime/ConfigRoutes.ts
+++ b/src/runtime/ConfigRoutes.ts
@@ -49,7 +49,7 @@
       configDelete: this._editHandler(target => this._editor.delete(target)),
       configRollback: withConfigId((id, request) => this._rollback(id, request)),
       configHistory: withConfigId(async ({ kind, name }) => {
-        const history = await this._editor.history(kind, name)
+        const history = await this._editor.readHistory(kind, name)
         return history.match(entries => okReply({ entries }), toErrorReply)
       }),
       configEverywhere: withConfigId(async ({ kind, name }) => okReply({ places: await this._queryRevisions(kind, name) }))
@@ -71,7 +71,7 @@
 
   /** Returns the entry in the store or, while the store is unreachable, the one that this process applies. */
   private async _get ({ kind, name }: IConfigId): Promise<IOperatorReply> {
-    const stored = await this._editor.current(kind, name)
+    const stored = await this._editor.readCurrent(kind, name)
     const known = stored.isOk() ? stored.value : this._replica.get(kind, name)
     if (known !== undefined) return okReply({ entry: known, source: stored.isOk() ? 'store' : 'replica' })
     if (stored.isErr()) return toErrorReply(stored.error)
--- a/src/runtime/HttpListener.ts
+++ b/src/runtime/HttpListener.ts
@@ -53,10 +53,10 @@
 
   private async _listen (address: IListenAddress): Promise<Result<string, UnreachableError>> {
     return await new Promise(resolve => {
-      const failed = (cause: Error) => resolve(err(toListenError(address, cause)))
-      this._server.once('error', failed)
+      const onError = (cause: Error) => resolve(err(toListenError(address, cause)))
+      this._server.once('error', onError)
       this._server.listen(address.port, address.ip, () => {
-        this._server.off('error', failed)
+        this._server.off('error', onError)
         resolve(ok(urlOf(this._server.address() as AddressInfo)))
       })
     })
--- a/src/runtime/RunnerClient.ts
+++ b/src/runtime/RunnerClient.ts
@@ -37,7 +37,7 @@
 const DEFAULT_CONTENT_TYPE = 'application/octet-stream'
 const CONTROL_CONNECTIONS = 1
 /** After a takeover, a runner has connections of both its old and its new owner for a while. */
-const OWNERS_AT_ONCE = 2
+const MAX_OWNERS = 2
 const PLAIN_HEADER_VALUE = /^[\w.:@/-]*$/
 
 export class RunnerClient implements IRunnerClient, IDisposable {
@@ -56,12 +56,12 @@
       timeoutMs: call.timeoutMs,
       signal: call.signal
     }
-    return exchange(this._connectionsTo(host).calls, request).andThen((response) => toRunnerAnswer(request, response))
+    return exchange(this._getConnections(host).calls, request).andThen((response) => toRunnerAnswer(request, response))
   }
 
   public fence (host: IHostRecord, fence: IFence): ResultAsync<IRunnerStatus, UpstreamError> {
     const command = { step: 'runner.fence', peer: host.hostId, path: '/fence', body: fence, timeoutMs: this._options.controlTimeoutMs }
-    return sendCommand(this._connectionsTo(host).control, command, runnerStatus)
+    return sendCommand(this._getConnections(host).control, command, runnerStatus)
   }
 
   /** Closes the connections after the calls in progress, which a takeover of the shard must not abort. Their timeouts bound the wait. */
@@ -77,7 +77,7 @@
     for (const hostId of [...this._connectionsByHost.keys()]) this.forget(hostId)
   }
 
-  private _connectionsTo (host: IHostRecord): IRunnerConnections {
+  private _getConnections (host: IHostRecord): IRunnerConnections {
     const known = this._connectionsByHost.get(host.hostId)
     if (known?.url === host.url) return known
     this.forget(host.hostId)
@@ -92,7 +92,7 @@
    * would fail although slots are free.
    */
   private _connect (host: IHostRecord): IRunnerConnections {
-    const share = Math.floor(host.maxConnections / OWNERS_AT_ONCE) - CONTROL_CONNECTIONS
+    const share = Math.floor(host.maxConnections / MAX_OWNERS) - CONTROL_CONNECTIONS
     const connections = Math.max(1, Math.min(host.slots, share))
     const common = {
       headersTimeout: 0,
--- a/src/runtime/StoreWatch.ts
+++ b/src/runtime/StoreWatch.ts
@@ -63,10 +63,10 @@
 
   private _poll (): void {
     if (this._isDisposed) return
-    const abort = new AbortController()
-    this._abortController = abort
-    const ifCurrent = (step: () => void): void => { if (!this._isDisposed && this._abortController === abort) step() }
-    this._source.poll(this._prefix, this._afterRevision, abort.signal).match(
+    const controller = new AbortController()
+    this._abortController = controller
+    const ifCurrent = (step: () => void): void => { if (!this._isDisposed && this._abortController === controller) step() }
+    this._source.poll(this._prefix, this._afterRevision, controller.signal).match(
       (polled) => { ifCurrent(() => { this._handlePoll(polled) }) },
       () => { ifCurrent(() => { this._retryLater() }) })
       .catch((error: unknown) => { queueMicrotask(() => { throw error }) })
@@ -85,15 +85,15 @@
   }
 
   private _readRange (): void {
-    const abort = this._abortController
+    const controller = this._abortController
     this._source.range(this._prefix).match(
       (range) => {
-        if (this._isDisposed || this._abortController !== abort) return
+        if (this._isDisposed || this._abortController !== controller) return
         this._afterRevision = range.revision
         this.listener.onReset(range)
         this._poll()
       },
-      () => { if (!this._isDisposed && this._abortController === abort) this._retryLater() })
+      () => { if (!this._isDisposed && this._abortController === controller) this._retryLater() })
       .catch((error: unknown) => { queueMicrotask(() => { throw error }) })
   }
 
--- a/src/runtime/WorkerClient.ts
+++ b/src/runtime/WorkerClient.ts
@@ -48,7 +48,7 @@
     const { fence, ...rest } = sync
     const timeoutMs = sync.waitMs + this._options.commandTimeoutMs
     const command = { step: 'worker.sync', peer: host.hostId, path: '/sync', body: { ...fence, ...rest }, timeoutMs }
-    return sendCommand(this._connectionsTo(host).polls, command, workerStatus)
+    return sendCommand(this._getConnections(host).polls, command, workerStatus)
   }
 
   public forget (hostId: string): void {
@@ -65,10 +65,10 @@
 
   private _sendCommand (host: IHostRecord, step: string, path: string, body: object): ResultAsync<IWorkerStatus, UpstreamError> {
     const command = { step, peer: host.hostId, path, body, timeoutMs: this._options.commandTimeoutMs }
-    return sendCommand(this._connectionsTo(host).commands, command, workerStatus)
+    return sendCommand(this._getConnections(host).commands, command, workerStatus)
   }
 
-  private _connectionsTo (host: IHostRecord): IWorkerConnections {
+  private _getConnections (host: IHostRecord): IWorkerConnections {
     const known = this._connectionsByHost.get(host.hostId)
     if (known?.url === host.url) return known
     this.forget(host.hostId)
--- a/src/runtime/config/ConfigConvergence.test.ts
+++ b/src/runtime/config/ConfigConvergence.test.ts
@@ -39,7 +39,7 @@
   const accepted: IConfigEntry[] = []
   const refusedNonces: string[] = []
   for (const { name, behind, isDelete, faults } of edits) {
-    const current = (await editor.current('profile', name))._unsafeUnwrap()
+    const current = (await editor.readCurrent('profile', name))._unsafeUnwrap()
     store.writeFaults = [...faults]
     const noncesBefore = nonces
     const target = { kind: 'profile', name, seenRevision: (current?.revision ?? 0) - behind, writer: 'w' } as const
@@ -63,7 +63,7 @@
   await fc.assert(fc.asyncProperty(fc.array(EDIT, { maxLength: 12 }), fc.infiniteStream(fc.nat()), async (edits, nextRandom) => {
     const store = new ScriptedStore()
     const { editor, accepted, refusedNonces } = await runEdits(store, edits)
-    const all = (await Promise.all(NAMES.map(async name => (await editor.history('profile', name))._unsafeUnwrap()))).flat()
+    const all = (await Promise.all(NAMES.map(async name => (await editor.readHistory('profile', name))._unsafeUnwrap()))).flat()
     for (const entry of accepted) t.true(all.some(kept => kept.name === entry.name && kept.nonce === entry.nonce), entry.nonce)
     for (const nonce of refusedNonces) t.false(all.some(kept => kept.nonce === nonce), `${nonce} was refused`)
     for (const name of NAMES) {
--- a/src/runtime/config/ConfigEditor.test.ts
+++ b/src/runtime/config/ConfigEditor.test.ts
@@ -30,7 +30,7 @@
   const back = (await editor.rollback(urgent(3), 1))._unsafeUnwrap()
   t.is(back.revision, 4)
   t.deepEqual(back.value, URGENT_PROFILE)
-  const history = (await editor.history('profile', 'urgent'))._unsafeUnwrap()
+  const history = (await editor.readHistory('profile', 'urgent'))._unsafeUnwrap()
   t.deepEqual(history.map(entry => [entry.revision, entry.deleted]), [[1, false], [2, false], [3, true], [4, false]])
   t.true((await editor.rollback(urgent(4), 9)).isErr())
   t.true((await editor.delete({ ...urgent(0), name: 'never-there' })).isErr())
@@ -39,7 +39,7 @@
 test('the history is bounded', async t => {
   const { editor } = setUp(3)
   for (let revision = 0; revision < 9; revision++) await editor.put(urgent(revision), URGENT_PROFILE)
-  const history = (await editor.history('profile', 'urgent'))._unsafeUnwrap()
+  const history = (await editor.readHistory('profile', 'urgent'))._unsafeUnwrap()
   t.deepEqual(history.map(entry => entry.revision), [7, 8, 9])
 })
 
@@ -57,7 +57,7 @@
   await race
   results.push(await editor.put(urgent(1, 'eve'), URGENT_PROFILE))
   const lost = results.filter(result => result.isErr()).map(result => result._unsafeUnwrapErr())
-  const current = (await editor.current('profile', 'urgent'))._unsafeUnwrap()
+  const current = (await editor.readCurrent('profile', 'urgent'))._unsafeUnwrap()
   t.is(current?.revision, 2)
   t.true(lost.length >= 1)
   for (const error of lost) t.deepEqual((error as ConfigConflictError).current, current)
@@ -86,7 +86,7 @@
   store.writeFaults = ['requestLost', 'late', undefined]
   t.is((await editor.put(urgent(0), URGENT_PROFILE))._unsafeUnwrap().revision, 1)
   store.deliverLate()
-  t.is((await editor.current('profile', 'urgent'))._unsafeUnwrap()?.revision, 1)
+  t.is((await editor.readCurrent('profile', 'urgent'))._unsafeUnwrap()?.revision, 1)
 })
 
 // The response is lost, and another operator edits the item again before the editor reads it back. The first operator's change
@@ -102,7 +102,7 @@
       .orTee(error => t.fail(error.message)).andThen(() => get(key)).mapErr(error => error as StoreError)
   }
   t.is((await editor.put(urgent(0, 'ann'), URGENT_PROFILE))._unsafeUnwrap().revision, 1)
-  t.is((await editor.current('profile', 'urgent'))._unsafeUnwrap()?.writer, 'bob')
+  t.is((await editor.readCurrent('profile', 'urgent'))._unsafeUnwrap()?.writer, 'bob')
 })
 
 // The store becomes unavailable during an edit and stays unavailable. Neither "accepted" nor "refused" would be certain.
--- a/src/runtime/config/ConfigEditor.ts
+++ b/src/runtime/config/ConfigEditor.ts
@@ -75,19 +75,19 @@
   }
 
   /** Reads the current entry from the store; absent for an item that never existed. */
-  public current (kind: ConfigKind, name: string): ResultAsync<IConfigEntry | undefined, EditError> {
-    return new ResultAsync<{ readonly entry: IConfigEntry | undefined }, EditError>(this._configRecords.current(kind, name))
+  public readCurrent (kind: ConfigKind, name: string): ResultAsync<IConfigEntry | undefined, EditError> {
+    return new ResultAsync<{ readonly entry: IConfigEntry | undefined }, EditError>(this._configRecords.readCurrent(kind, name))
       .map(stored => stored.entry)
   }
 
   /** Reads the kept revisions, including the current one, oldest first. */
-  public history (kind: ConfigKind, name: string): ResultAsync<readonly IConfigEntry[], EditError> {
-    return new ResultAsync<readonly IConfigEntry[], EditError>(this._configRecords.history(kind, name))
+  public readHistory (kind: ConfigKind, name: string): ResultAsync<readonly IConfigEntry[], EditError> {
+    return new ResultAsync<readonly IConfigEntry[], EditError>(this._configRecords.readHistory(kind, name))
   }
 
   private async _rollback (target: IEditTarget, toRevision: number): EditResult<IConfigEntry> {
     const { kind, name } = target
-    const earlier = await this._configRecords.revision(kind, name, toRevision)
+    const earlier = await this._configRecords.readRevision(kind, name, toRevision)
     if (earlier.isErr()) return err(earlier.error)
     if (earlier.value === undefined) {
       return err(new InvalidInputError('config.rollback', `${kind} ${name}`, 'revision', `${toRevision} is not in the history`))
@@ -98,7 +98,7 @@
   private async _edit (target: IEditTarget, value: ConfigValue | undefined): EditResult<IConfigEntry> {
     const { kind, name, seenRevision } = target
     if (!isConfigName(name)) return err(new InvalidInputError('config.edit', kind, 'name', `${JSON.stringify(name)} is malformed`))
-    const stored = await this._configRecords.current(kind, name)
+    const stored = await this._configRecords.readCurrent(kind, name)
     if (stored.isErr()) return err(stored.error)
     const { entry, modRevision } = stored.value
     if ((entry?.revision ?? 0) !== seenRevision) return err(new ConfigConflictError(kind, name, seenRevision, entry))
--- a/src/runtime/config/ConfigRecords.ts
+++ b/src/runtime/config/ConfigRecords.ts
@@ -28,15 +28,15 @@
 export class ConfigRecords {
   public constructor (private readonly _store: IKeyValueStore, private readonly _maxHistory: number) {}
 
-  public async current (kind: ConfigKind, name: string): RecordResult<IStoredEntry> {
+  public async readCurrent (kind: ConfigKind, name: string): RecordResult<IStoredEntry> {
     return this._read(configKey(kind, name))
   }
 
   /** Reads the kept revisions, including the current one, oldest first. */
-  public async history (kind: ConfigKind, name: string): RecordResult<readonly IConfigEntry[]> {
+  public async readHistory (kind: ConfigKind, name: string): RecordResult<readonly IConfigEntry[]> {
     const earlier = await this._store.range(historyPrefix(kind, name))
     if (earlier.isErr()) return err(earlier.error)
-    const current = await this.current(kind, name)
+    const current = await this.readCurrent(kind, name)
     if (current.isErr()) return err(current.error)
     const entries = new Map(earlier.value.records.flatMap(decodeIfValid).map(entry => [entry.revision, entry]))
     const { entry } = current.value
@@ -45,11 +45,11 @@
   }
 
   /** Reads one revision, current or earlier; absent if it never existed or is no longer kept. */
-  public async revision (kind: ConfigKind, name: string, revision: number): RecordResult<IConfigEntry | undefined> {
+  public async readRevision (kind: ConfigKind, name: string, revision: number): RecordResult<IConfigEntry | undefined> {
     const earlier = await this._read(historyKey(kind, name, revision))
     if (earlier.isErr()) return err(earlier.error)
     if (earlier.value.entry !== undefined) return ok(earlier.value.entry)
-    const current = await this.current(kind, name)
+    const current = await this.readCurrent(kind, name)
     return current.map(({ entry }) => entry?.revision === revision ? entry : undefined)
   }
 
--- a/src/runtime/config/ConfigWatcher.ts
+++ b/src/runtime/config/ConfigWatcher.ts
@@ -22,7 +22,7 @@
 export class ConfigWatcher implements IDisposable {
   private readonly _onApplied = new Emitter<readonly IConfigEntry[]>()
   private readonly _onReachable = new Emitter<boolean>()
-  private _subscription: IDisposable | undefined
+  private _retryOrWatch: IDisposable | undefined
   private _isDisposed = false
 
   /** Fires with the entries that changed the replica of this process. */
@@ -47,7 +47,7 @@
     if (this._isDisposed) return
     if (range.isOk()) return this._watchStore(range.value)
     this._logger.warn('config.storeUnreachable', errorFields(range.error))
-    this._subscription = this._timers.after(this._options.retryMs, () => this.start())
+    this._retryOrWatch = this._timers.after(this._options.retryMs, () => this.start())
     this.applyFromPeer(await this._options.entriesOfPeers())
   }
 
@@ -58,14 +58,14 @@
 
   public dispose (): void {
     this._isDisposed = true
-    this._subscription?.dispose()
+    this._retryOrWatch?.dispose()
     this._onApplied.dispose()
     this._onReachable.dispose()
   }
 
   private _watchStore (range: IStoreRange): void {
     this._applyRecords(range.records)
-    this._subscription = this._store.watch(CONFIG_PREFIX, range.revision, {
+    this._retryOrWatch = this._store.watch(CONFIG_PREFIX, range.revision, {
       onChanges: changes => this._applyChanges(changes),
       onReset: whole => this._applyRecords(whole.records),
       onReachable: reachable => this._onReachable.fire(reachable)
@@ -74,8 +74,8 @@
 
   /**
    * Applies changed records. An operator's deletion is stored as an entry. A removed key was not removed through the operator
-   * interface, and its last revision stays in force here. Only processes that restart later don't have the item, because they
-   * can't tell it from one that never existed.
+   * interface: its last revision stays in force in the running processes, but a process that restarts later can't tell the item
+   * from one that never existed. Therefore the removal is logged as an error.
    */
   private _applyChanges (changes: readonly IStoreChange[]): void {
     for (const gone of changes.filter(change => change.deleted)) this._logger.error('config.keyRemoved', { key: gone.key })
--- a/src/runtime/config/EntryWriter.ts
+++ b/src/runtime/config/EntryWriter.ts
@@ -62,7 +62,7 @@
   }
 
   private async _readOutcome (entry: IConfigEntry): Promise<WriteOutcome> {
-    const stored = await this._records.current(entry.kind, entry.name)
+    const stored = await this._records.readCurrent(entry.kind, entry.name)
     if (stored.isErr()) return OPEN
     const current = stored.value.entry
     if (current?.nonce === entry.nonce) return IN_FORCE
@@ -73,7 +73,7 @@
 
   /** A later revision is in force. Its author has archived the one before, which is `entry` or the revision of another author. */
   private async _readArchivedOutcome (entry: IConfigEntry, current: IConfigEntry): Promise<WriteOutcome> {
-    const kept = await this._records.revision(entry.kind, entry.name, entry.revision)
+    const kept = await this._records.readRevision(entry.kind, entry.name, entry.revision)
     const nonce = kept.isOk() ? kept.value?.nonce : undefined
     if (nonce === undefined) return OPEN
     return nonce === entry.nonce ? IN_FORCE : { type: 'lost', current }
--- a/src/runtime/settings/Types.ts
+++ b/src/runtime/settings/Types.ts
@@ -80,7 +80,7 @@
 export interface ILimitSettings {
   /** The limit of concurrent requests in one process; further ones are refused. */
   readonly maxInFlight: number
-  /** The limit of bytes of request bodies in one process, of 128 MB for the whole process; further requests are refused. */
+  /** The limit of bytes of request bodies in one process, which has 128 MB of memory; further requests are refused. */
   readonly maxInFlightBytes: number
   /** The limit of concurrent connections of one listener. */
   readonly maxConnections: number
