--- a/src/scheduler/LoadReporter.ts
+++ b/src/scheduler/LoadReporter.ts
@@ -1,5 +1,5 @@
 /**
- * Tells those that route work to this scheduler how loaded it is and which shards it owns.
+ * Sends load summaries of this scheduler to its peers: its load and the shards that it owns. Peers route work by them.
  */
 
 import type { IEngineLoad } from '../common/policy/Types.js'
@@ -17,14 +17,14 @@
 }
 
 /**
- * Summaries cost bytes for each pair of processes, so they go to the own region once a second and to other regions,
- * where only the wait worth a move matters, every fourth time. News that would send work to the wrong place (a shard
- * gained or lost, draining) goes to everybody at once.
+ * Summaries cost traffic between every pair of processes. Peers in the same region get one every second; peers in other
+ * regions need only the expected wait, to decide whether moving work pays off, and get every fourth. Changes that would
+ * misroute work (a shard gained or lost, draining) are sent to all peers immediately.
  */
 const PERIOD_MS = 1000
-const REMOTE_EVERY = 4
+const ROUNDS_PER_REMOTE_SUMMARY = 4
 
-const NOTHING = { cores: 0, memoryBytes: 0, accelerators: 0 }
+const NO_RESOURCES = { cores: 0, memoryBytes: 0, accelerators: 0 }
 
 export class LoadReporter implements IDisposable {
   private readonly _disposables: IDisposable[] = []
@@ -37,11 +37,11 @@
     private readonly _sources: ILoadSources,
     private readonly _onSummary: (summary: ILoadSummary) => void
   ) {
-    this._disposables.push(timers.every(PERIOD_MS, () => this._periodic()))
+    this._disposables.push(timers.every(PERIOD_MS, () => this._sendPeriodically()))
     this._disposables.push(_hub.onLink((link) => link.cast('loadSummary', this.summary())))
   }
 
-  /** Tells everybody now. */
+  /** Sends a summary to all peers immediately. */
   public announce (): void {
     this._send(this._hub.links())
   }
@@ -66,10 +66,10 @@
     }
   }
 
-  private _periodic (): void {
+  private _sendPeriodically (): void {
     this._round += 1
-    const everybody = this._round % REMOTE_EVERY === 0
-    this._send(this._hub.links().filter((link) => everybody || link.peer.region === this._self.region))
+    const includesRemote = this._round % ROUNDS_PER_REMOTE_SUMMARY === 0
+    this._send(this._hub.links().filter((link) => includesRemote || link.peer.region === this._self.region))
   }
 
   private _send (links: readonly IPeerLink[]): void {
@@ -78,14 +78,14 @@
     for (const link of links) link.cast('loadSummary', summary)
   }
 
-  /** Free places are a scheduler's, not a shard's: the first shard of a kind carries them for all. */
+  /** Free capacity is known per scheduler, not per shard: the first shard of each kind reports it for all shards of that kind. */
   private _shards (requestLoad: IEngineLoad, taskLoad: IEngineLoad): readonly IShardLoad[] {
-    const told = new Set<string>()
+    const reportedKinds = new Set<string>()
     return this._sources.shards().map((shard) => {
       const load = shard.kind === 'runners' ? requestLoad : taskLoad
-      const carries = shard.kind !== 'ids' && !told.has(shard.kind)
-      told.add(shard.kind)
-      return carries ? withLoad(shard, load) : { ...shard, freeSlots: 0, totalSlots: 0, free: NOTHING, largestFree: NOTHING }
+      const reportsLoad = shard.kind !== 'ids' && !reportedKinds.has(shard.kind)
+      reportedKinds.add(shard.kind)
+      return reportsLoad ? withLoad(shard, load) : { ...shard, freeSlots: 0, totalSlots: 0, free: NO_RESOURCES, largestFree: NO_RESOURCES }
     })
   }
 }
--- a/src/scheduler/hosts/HostDirectory.ts
+++ b/src/scheduler/hosts/HostDirectory.ts
@@ -14,10 +14,10 @@
   public readonly onChange = this._onChange.event
   private _hosts: readonly IHostRecord[] = []
   private _listed: readonly IHostRecord[] = []
-  private readonly _drained = new Set<string>()
+  private readonly _drainedHostIds = new Set<string>()
   private _fingerprint = ''
   private _timer: IDisposable | undefined
-  private _polling = false
+  private _isPolling = false
 
   public constructor (
     private readonly _list: IHostList,
@@ -40,24 +40,24 @@
     this._onChange.dispose()
   }
 
-  /** An operator takes a host out of use here: it counts as leaving, whatever the list says. */
+  /** Takes a host out of use at an operator's request: a live host counts as leaving from now on. */
   public drain (hostId: string): void {
-    this._drained.add(hostId)
-    this._take(this._listed)
+    this._drainedHostIds.add(hostId)
+    this._applyList(this._listed)
   }
 
-  /** One poll; a slow answer is not overtaken by the next poll. */
+  /** Polls the list once; does nothing while an earlier poll is still unanswered. */
   public async poll (): Promise<void> {
-    if (this._polling) return
-    this._polling = true
+    if (this._isPolling) return
+    this._isPolling = true
     const listed = await this._list.list()
-    this._polling = false
-    listed.match((hosts) => this._take(hosts), (error) => this._log.warn('hostList.unavailable', { step: error.step, peer: error.peer }))
+    this._isPolling = false
+    listed.match((hosts) => this._applyList(hosts), (error) => this._log.warn('hostList.unavailable', { step: error.step, peer: error.peer }))
   }
 
-  private _take (listed: readonly IHostRecord[]): void {
+  private _applyList (listed: readonly IHostRecord[]): void {
     this._listed = listed
-    const hosts = listed.map((host) => this._drained.has(host.hostId) && host.state === 'live' ? { ...host, state: 'leaving' as const } : host)
+    const hosts = listed.map((host) => this._drainedHostIds.has(host.hostId) && host.state === 'live' ? { ...host, state: 'leaving' as const } : host)
     const fingerprint = JSON.stringify(hosts)
     if (fingerprint === this._fingerprint) return
     this._fingerprint = fingerprint
--- a/src/scheduler/hosts/RunnerPool.ts
+++ b/src/scheduler/hosts/RunnerPool.ts
@@ -1,6 +1,6 @@
 /**
- * The runners of all owned shards: keeps the decision engine's picture of them true through takeovers, silence,
- * leaving and attempts whose end nobody saw.
+ * The runners of all owned shards. Keeps the decision engine's view of them correct when shards change owner, runners
+ * become unreachable or leave, and the end of an attempt was not observed.
  */
 
 import { Emitter } from '../../common/Emitter.js'
@@ -14,15 +14,15 @@
 import type { IRunnerSessionEvents } from './RunnerSession.js'
 import type { IHostDirectory, IOwnedShard, IShardEvents } from './Types.js'
 
-/** An attempt whose end was not seen counts as over after it is missing from two statuses: one may have been on its way. */
+/** An attempt whose end was not observed counts as over once two statuses don't list it: the first may predate its start. */
 const STATUSES_WITHOUT_ATTEMPT = 2
-/** Stands in the place of work that another owner dispatched and that still runs. */
+/** Prefix of the item ids of attempts that an earlier owner dispatched and that still run. */
 const ADOPTED_PREFIX = 'adopted/'
 
-interface IUnsettled {
+interface IUnsettledAttempt {
   readonly itemId: string
   readonly attemptId: string
-  missing: number
+  missedStatuses: number
 }
 
 export interface IRunnerPoolContext {
@@ -33,22 +33,22 @@
   readonly clock: IClock
   readonly timers: ITimers
   readonly log: ILogger
-  /** The item that stands for an adopted attempt. */
+  /** Creates the engine item of an adopted attempt. */
   readonly adoptedItem: (itemId: string, nowMs: number) => IWorkItem
 }
 
 export class RunnerPool implements IRunnerSessionEvents, IDisposable {
   private readonly _onChange = new Emitter<void>()
-  /** Places have become free, or hosts have gone: there may be something to decide. */
+  /** Slots have become free, or hosts have changed or gone: the engine may have something new to decide. */
   public readonly onChange = this._onChange.event
   private readonly _owned = new Map<string, IOwnedShard>()
   private readonly _sessions = new Map<string, RunnerSession>()
-  private readonly _unsettled = new Map<string, IUnsettled[]>()
+  private readonly _unsettled = new Map<string, IUnsettledAttempt[]>()
 
   public constructor (private readonly _context: IRunnerPoolContext) {
     _context.directory.onChange(() => this._refresh())
-    _context.shards.onAcquired((shard) => this._acquired(shard))
-    _context.shards.onLost((shard) => this._lost(shard))
+    _context.shards.onAcquired((shard) => this._addShard(shard))
+    _context.shards.onLost((shard) => this._removeShard(shard))
   }
 
   public dispose (): void {
@@ -56,39 +56,39 @@
     this._sessions.clear()
   }
 
-  /** The host and the fence to dispatch with; nothing when the host is no longer ours. */
-  public target (hostId: string): { readonly host: IHostRecord, readonly fence: IFence } | undefined {
+  /** The host and the fence to dispatch with; undefined when this process no longer owns the host. */
+  public targetOf (hostId: string): { readonly host: IHostRecord, readonly fence: IFence } | undefined {
     const session = this._sessions.get(hostId)
     return session === undefined ? undefined : { host: session.host, fence: session.fence }
   }
 
   /**
-   * Holds the slot of an attempt whose end is not known until the runner's own status no longer lists it.
+   * Keeps the slot of an attempt taken until the runner's status no longer lists the attempt.
    *
-   * A call that was cut or timed out may go on at the runner. Counting its slot as free at once would oversubscribe
-   * the runner: one sees it refuse calls, or run more than its slots.
+   * A call that was cut off or timed out may still run at the runner. Counting its slot as free immediately would
+   * oversubscribe the runner, which would refuse calls or run more calls than it has slots.
    */
-  public settleLater (hostId: string, itemId: string, attemptId: string): void {
+  public holdSlot (hostId: string, itemId: string, attemptId: string): void {
     const session = this._sessions.get(hostId)
     if (session === undefined) return
-    this._add(hostId, { itemId, attemptId, missing: 0 })
+    this._addUnsettled(hostId, { itemId, attemptId, missedStatuses: 0 })
     session.setUnsettled(true)
   }
 
-  /** The runner refused because it leaves. */
-  public noteLeaving (hostId: string): void {
-    this._sessions.get(hostId)?.noteLeaving()
+  /** Marks a runner as leaving because it refused a call for that reason. */
+  public markLeaving (hostId: string): void {
+    this._sessions.get(hostId)?.markLeaving()
   }
 
-  /** A runner answered with a newer epoch. */
-  public noteFenced (hostId: string, currentEpoch: number): void {
+  /** Reports that a runner answered with a newer epoch. */
+  public reportFenced (hostId: string, currentEpoch: number): void {
     const session = this._sessions.get(hostId)
     if (session !== undefined) this.onFenced(session, currentEpoch)
   }
 
   public onStatus (session: RunnerSession, status: IRunnerStatus): void {
-    if (session.state === 'unfenced') this._adopt(session, status)
-    this._settle(session, status)
+    if (session.state === 'unfenced') this._adoptAttempts(session, status)
+    this._settleAttempts(session, status)
   }
 
   public onStateChange (session: RunnerSession): void {
@@ -110,17 +110,17 @@
     }))
   }
 
-  private _acquired (shard: IOwnedShard): void {
+  private _addShard (shard: IOwnedShard): void {
     if (!shard.shardId.startsWith('runners/')) return
-    this._lost(shard)
+    this._removeShard(shard)
     this._owned.set(shard.shardId, shard)
     this._refresh()
   }
 
-  private _lost (shard: IOwnedShard): void {
+  private _removeShard (shard: IOwnedShard): void {
     this._owned.delete(shard.shardId)
     for (const session of [...this._sessions.values()]) {
-      if (session.fence.shardId === shard.shardId) this._drop(session)
+      if (session.fence.shardId === shard.shardId) this._removeSession(session)
     }
   }
 
@@ -129,14 +129,14 @@
     for (const host of this._context.directory.hosts) {
       if (host.kind !== 'runner' || host.state === 'gone') continue
       listed.add(host.hostId)
-      this._see(host)
+      this._trackHost(host)
     }
     for (const session of [...this._sessions.values()]) {
-      if (!listed.has(session.host.hostId)) this._drop(session)
+      if (!listed.has(session.host.hostId)) this._removeSession(session)
     }
   }
 
-  private _see (host: IHostRecord): void {
+  private _trackHost (host: IHostRecord): void {
     const owned = this._owned.get(shardOfHost(host))
     const session = this._sessions.get(host.hostId)
     if (owned === undefined) return
@@ -150,7 +150,7 @@
     created.start()
   }
 
-  private _drop (session: RunnerSession): void {
+  private _removeSession (session: RunnerSession): void {
     session.dispose()
     this._sessions.delete(session.host.hostId)
     this._unsettled.delete(session.host.hostId)
@@ -171,34 +171,34 @@
     })
   }
 
-  private _adopt (session: RunnerSession, status: IRunnerStatus): void {
+  private _adoptAttempts (session: RunnerSession, status: IRunnerStatus): void {
     for (const attemptId of status.attemptIds) {
       const itemId = `${ADOPTED_PREFIX}${attemptId}`
       this._context.engine.adopt(this._context.adoptedItem(itemId, this._context.clock.nowMs()), session.host.hostId)
-      this._add(session.host.hostId, { itemId, attemptId, missing: 0 })
+      this._addUnsettled(session.host.hostId, { itemId, attemptId, missedStatuses: 0 })
     }
     if (status.attemptIds.length > 0) session.setUnsettled(true)
   }
 
-  private _settle (session: RunnerSession, status: IRunnerStatus): void {
+  private _settleAttempts (session: RunnerSession, status: IRunnerStatus): void {
     const entries = this._unsettled.get(session.host.hostId)
     if (entries === undefined) return
     const running = new Set(status.attemptIds)
-    const left = entries.filter((entry) => !this._isOver(entry, running))
-    if (left.length > 0) this._unsettled.set(session.host.hostId, left)
+    const remaining = entries.filter((entry) => !this._settleIfOver(entry, running))
+    if (remaining.length > 0) this._unsettled.set(session.host.hostId, remaining)
     else this._unsettled.delete(session.host.hostId)
-    session.setUnsettled(left.length > 0)
-    if (left.length < entries.length) this._onChange.fire()
+    session.setUnsettled(remaining.length > 0)
+    if (remaining.length < entries.length) this._onChange.fire()
   }
 
-  private _isOver (entry: IUnsettled, running: ReadonlySet<string>): boolean {
-    entry.missing = running.has(entry.attemptId) ? 0 : entry.missing + 1
-    if (entry.missing < STATUSES_WITHOUT_ATTEMPT) return false
+  private _settleIfOver (entry: IUnsettledAttempt, running: ReadonlySet<string>): boolean {
+    entry.missedStatuses = running.has(entry.attemptId) ? 0 : entry.missedStatuses + 1
+    if (entry.missedStatuses < STATUSES_WITHOUT_ATTEMPT) return false
     this._context.engine.finished(entry.itemId, 'stopped', 0)
     return true
   }
 
-  private _add (hostId: string, entry: IUnsettled): void {
+  private _addUnsettled (hostId: string, entry: IUnsettledAttempt): void {
     const entries = this._unsettled.get(hostId) ?? []
     entries.push(entry)
     this._unsettled.set(hostId, entries)
--- a/src/scheduler/hosts/RunnerSession.ts
+++ b/src/scheduler/hosts/RunnerSession.ts
@@ -1,5 +1,5 @@
 /**
- * One runner of an owned shard: fences it, then asks it again and again what runs there.
+ * The session with one runner of an owned shard: fences the runner, then polls it for the attempts that run there.
  */
 
 import { FencedError } from '../../common/Errors.js'
@@ -8,11 +8,11 @@
 import type { IDisposable, ITimers } from '../../common/Types.js'
 import type { IFence, IHostRecord, IRunnerClient, IRunnerStatus, UpstreamError } from '../../runtime/Types.js'
 
-/** Also bounds how late a runner's own word that it leaves is heard; 3 s are allowed. */
+/** Also bounds the delay until a runner's report that it leaves is seen, which may be 3 s. */
 const POLL_MS = 1000
-/** While an attempt's end is not known its slot is held, so this is asked more often. */
+/** Shorter while the end of an attempt is unknown, because its slot is held until then. */
 const UNSETTLED_POLL_MS = 200
-/** A single lost poll says little; three in a row cost at most 3 s of placing on a dead host. */
+/** A single lost poll is no evidence of a failure. Waiting for three in a row means at most 3 s of placing work on a dead host. */
 const MAX_MISSED_POLLS = 3
 
 export type RunnerState = 'unfenced' | 'ready' | 'leaving' | 'unreachable'
@@ -27,8 +27,8 @@
   private _state: RunnerState = 'unfenced'
   private _missedPolls = 0
   private _timer: IDisposable | undefined
-  private _disposed = false
-  private _unsettled = false
+  private _isDisposed = false
+  private _hasUnsettled = false
 
   public constructor (
     private _host: IHostRecord,
@@ -52,46 +52,46 @@
   }
 
   public dispose (): void {
-    this._disposed = true
+    this._isDisposed = true
     this._timer?.dispose()
   }
 
-  /** The host list has news of this host. */
+  /** Takes over the host's current record from the host list. */
   public update (host: IHostRecord): void {
     this._host = host
-    if (host.state === 'leaving' && this._state === 'ready') this._change('leaving')
+    if (host.state === 'leaving' && this._state === 'ready') this._setState('leaving')
   }
 
-  /** The runner itself refused new work because it leaves: believed at once, before the next poll. */
-  public noteLeaving (): void {
-    if (this._state === 'ready') this._change('leaving')
+  /** Marks the runner as leaving before the next poll, because it refused a call for that reason. */
+  public markLeaving (): void {
+    if (this._state === 'ready') this._setState('leaving')
   }
 
-  /** Polls faster while some attempt's end is not known. */
+  /** Polls more often while the end of some attempt is unknown. */
   public setUnsettled (unsettled: boolean): void {
-    if (unsettled && !this._unsettled) this._schedule(UNSETTLED_POLL_MS)
-    this._unsettled = unsettled
+    if (unsettled && !this._hasUnsettled) this._schedule(UNSETTLED_POLL_MS)
+    this._hasUnsettled = unsettled
   }
 
   private async _poll (): Promise<void> {
     const result = await this._client.fence(this._host, this.fence)
-    if (this._disposed) return
-    result.match((status) => this._answered(status), (error) => this._failed(error))
-    this._schedule(this._unsettled ? UNSETTLED_POLL_MS : POLL_MS)
+    if (this._isDisposed) return
+    result.match((status) => this._handleStatus(status), (error) => this._handleError(error))
+    this._schedule(this._hasUnsettled ? UNSETTLED_POLL_MS : POLL_MS)
   }
 
   private _schedule (delayMs: number): void {
     this._timer?.dispose()
-    if (!this._disposed) this._timer = this._timers.after(delayMs, () => { this._poll() })
+    if (!this._isDisposed) this._timer = this._timers.after(delayMs, () => { this._poll() })
   }
 
-  private _answered (status: IRunnerStatus): void {
+  private _handleStatus (status: IRunnerStatus): void {
     this._missedPolls = 0
     this._events.onStatus(this, status)
-    this._change(status.leaving || this._host.state === 'leaving' ? 'leaving' : 'ready')
+    this._setState(status.leaving || this._host.state === 'leaving' ? 'leaving' : 'ready')
   }
 
-  private _failed (error: UpstreamError): void {
+  private _handleError (error: UpstreamError): void {
     if (error instanceof FencedError) {
       this._events.onFenced(this, error.currentEpoch)
       return
@@ -99,10 +99,10 @@
     this._missedPolls += 1
     if (this._missedPolls < MAX_MISSED_POLLS) return
     this._log.warn('runner.unreachable', { peer: this._host.hostId, step: error.step })
-    this._change('unreachable')
+    this._setState('unreachable')
   }
 
-  private _change (state: RunnerState): void {
+  private _setState (state: RunnerState): void {
     if (state === this._state) return
     this._log.info('runner.state', { peer: this._host.hostId, from: this._state, to: state })
     this._state = state
--- a/src/scheduler/hosts/Types.ts
+++ b/src/scheduler/hosts/Types.ts
@@ -1,14 +1,14 @@
 /**
- * The hosts of a scheduler's shards, as the parts of the scheduler see them.
+ * The hosts and shards of a scheduler, as its components see them.
  */
 
 import type { Event } from '../../common/Emitter.js'
 import type { IHostRecord } from '../../runtime/Types.js'
 
-/** The newest host list; keeps the last one while the platform does not answer. */
+/** The newest host list; keeps the last one while the platform doesn't answer. */
 export interface IHostDirectory {
   readonly hosts: readonly IHostRecord[]
-  /** A new list came, different from the last. */
+  /** Fires when the list has changed. */
   readonly onChange: Event<readonly IHostRecord[]>
 }
 
@@ -18,13 +18,13 @@
   readonly epoch: number
 }
 
-/** Tells which shards this process owns. */
+/** Reports which shards this process gains and loses. */
 export interface IShardEvents {
   readonly onAcquired: Event<IOwnedShard>
   readonly onLost: Event<IOwnedShard>
-  /** A host refused our epoch: somebody else has taken the shard over. */
+  /** A host refused this process's epoch: another process has taken the shard over. */
   noteFenced (shardId: string, currentEpoch: number): void
-  /** Whether the store, asked now, shows the shard under this epoch; false also when it can't be asked. */
+  /** Whether the store, read now, shows this process as owner under this epoch; false also if the store doesn't answer. */
   confirm (shardId: string, epoch: number): Promise<boolean>
 }
 
--- a/src/scheduler/jobs/GangJobs.test.ts
+++ b/src/scheduler/jobs/GangJobs.test.ts
@@ -1,46 +1,46 @@
 /**
- * Jobs whose tasks have to start together, over fakes and a manual clock: on one scheduler and over several.
+ * All-at-once jobs on one scheduler and on several, with fakes and a manual clock.
  */
 
 import test from 'ava'
 
 import { checkAlways, jobOf, startedJobs } from '../../../test/support/JobsCell.js'
 
-const WHILE_MS = 2000
+const STEP_MS = 2000
 
-test('an all-at-once job waits for room for all its tasks, over several hosts', async (t) => {
+test('an all-at-once job waits until several hosts together have room for all its tasks', async (t) => {
   const cell = await startedJobs(1, 2)
   const owner = cell.scheduler(0).jobs
-  await owner.submit(jobOf(4, WHILE_MS, { jobId: 'first' }))
+  await owner.submit(jobOf(4, STEP_MS, { jobId: 'first' }))
   await cell.advance(100)
   await owner.submit(jobOf(6, 500, { service: 'sector-sweep' }))
-  await cell.advance(WHILE_MS / 2)
+  await cell.advance(STEP_MS / 2)
   t.is(cell.workers.running().filter((run) => run.start.jobId === 'job').length, 0)
-  await cell.advance(3 * WHILE_MS)
+  await cell.advance(3 * STEP_MS)
   t.is(cell.status(), 'succeeded')
   const starts = new Set(cell.workers.runs().filter((run) => run.start.jobId === 'job').map((run) => run.startedAtMs))
   t.is(starts.size, 1)
   checkAlways(t, cell)
 })
 
-test('a host dies under an all-at-once job: the others are stopped and all start again together', async (t) => {
-  // The tasks of such a job need each other. If the one that was lost started alone somewhere, or the others ran on
-  // without it, the job would hold its places and get nowhere.
+test('when a host of an all-at-once job dies, the other tasks are stopped and all start again together', async (t) => {
+  // The tasks of such a job need each other. If the lost tasks started alone elsewhere, or the others continued without
+  // them, the job would hold its places without making progress.
   const cell = await startedJobs(1, 3)
   await cell.scheduler(0).jobs.submit(jobOf(8, 10_000, { service: 'sector-sweep' }))
-  await cell.advance(WHILE_MS)
+  await cell.advance(STEP_MS)
   const hostId = cell.workers.running()[0]?.hostId ?? ''
   cell.workers.restart(hostId)
-  await cell.advance(2 * WHILE_MS)
+  await cell.advance(2 * STEP_MS)
   const running = cell.workers.running()
   t.is(running.length, 8)
   t.is(new Set(running.map((run) => run.start.attempt)).size, 1)
-  await cell.advance(8 * WHILE_MS)
+  await cell.advance(8 * STEP_MS)
   t.is(cell.status(), 'succeeded')
   checkAlways(t, cell)
 })
 
-test('an all-at-once job larger than any scheduler starts over several, or not at all', async (t) => {
+test('an all-at-once job that is too large for any one scheduler starts on several of them, or not at all', async (t) => {
   const cell = await startedJobs(3, 1)
   const owner = cell.scheduler(0).jobs
   await owner.submit(jobOf(2, 3000, { jobId: 'first' }))
@@ -56,8 +56,8 @@
   checkAlways(t, cell)
 })
 
-test('two all-at-once jobs that together are too large run one after the other', async (t) => {
-  // Each of them holds half of the places and waits for the other half. Neither would ever start, and nothing else could
+test('two all-at-once jobs that are too large together run one after the other', async (t) => {
+  // Each job could hold half of the places and wait for the other half. Neither would ever start, and no other job could
   // use the places.
   const cell = await startedJobs(3, 1)
   const owner = cell.scheduler(0).jobs
@@ -68,13 +68,13 @@
   checkAlways(t, cell)
 })
 
-test('one of several schedulers does not start its part: the others\' parts are stopped, and all start later', async (t) => {
-  // A reservation has run out or its scheduler was replaced between the reservation and the start. The parts that did
-  // start would wait for the missing one for ever, and hold their places.
+test('if one of several schedulers does not start its part, the other parts are stopped and all start later', async (t) => {
+  // A reservation has expired, or its scheduler was replaced between the reservation and the start. The parts that did
+  // start would wait for the missing part for ever and hold their places.
   const cell = await startedJobs(3, 1)
   cell.scheduler(2).losesReservations = true
   await cell.scheduler(0).jobs.submit(jobOf(12, 2000, { service: 'sector-sweep' }))
-  await cell.advance(WHILE_MS)
+  await cell.advance(STEP_MS)
   t.true(cell.workers.running().length < 12)
   cell.scheduler(2).losesReservations = false
   await cell.advance(20_000)
@@ -83,15 +83,15 @@
   checkAlways(t, cell)
 })
 
-test('a scheduler dies in the middle of an all-at-once start', async (t) => {
-  // It has started its part and is gone before the others have. What it started must be found and stopped by the next
-  // owner of its workers, and the job must start whole after that.
+test('an all-at-once job recovers when a scheduler dies during its start', async (t) => {
+  // The scheduler has started its part and dies before the others have started theirs. The next owner of its workers must
+  // find and stop its tasks, and afterwards all tasks of the job must start together.
   const cell = await startedJobs(3, 1)
   cell.scheduler(2).losesReservations = true
   await cell.scheduler(0).jobs.submit(jobOf(12, 2000, { service: 'sector-sweep' }))
   await cell.advance(30)
   cell.scheduler(1).die()
-  await cell.advance(WHILE_MS)
+  await cell.advance(STEP_MS)
   cell.scheduler(2).losesReservations = false
   cell.scheduler(2).take('workers/r1', 2)
   await cell.advance(30_000)
--- a/src/scheduler/jobs/GroupReserver.ts
+++ b/src/scheduler/jobs/GroupReserver.ts
@@ -1,6 +1,6 @@
 /**
- * Starts an all-at-once job that no single scheduler can hold, over several of them: `GangReservation` says what to send
- * next, and this class sends it.
+ * Starts an all-at-once job that is too large for a single scheduler on several of them: `GangReservation` decides which
+ * commands to send, and this class sends them.
  */
 
 import { DEFAULT_GANG_OPTIONS, GangReservation } from '../../common/state/GangReservation.js'
@@ -11,92 +11,92 @@
 import type { TaskRun } from './TaskRun.js'
 import type { IJobOwnerContext } from './Types.js'
 
-interface ITry {
+interface IReservationTry {
   readonly run: JobRun
   readonly tasks: readonly TaskRun[]
   readonly gang: GangReservation
-  /** Which scheduler holds which task. */
+  /** The scheduler that holds the place of each task, by task id. */
   readonly holders: Map<string, string>
-  /** A scheduler that took part didn't answer when its places were given back. */
+  /** A scheduler didn't answer when its reservation was dropped. */
   isInDoubt: boolean
 }
 
-type TryContext = Pick<IJobOwnerContext, 'peers' | 'clock' | 'timers'>
+type GroupReserverContext = Pick<IJobOwnerContext, 'peers' | 'clock' | 'timers'>
 
 const CALL_TIMEOUT_MS = 1000
-/** Giving back is tried this often; then the survey of all schedulers finds out what runs. */
-const MAX_GIVE_BACKS = 3
-const GIVE_BACK_PAUSE_MS = 200
-/** Comes on top of the pauses of the tasks, which grow with each try. */
+/** After this many tries to drop a reservation, the survey of all schedulers finds out which tasks run. */
+const MAX_GIVE_BACK_TRIES = 3
+const GIVE_BACK_RETRY_MS = 200
+/** Added to the pauses of the tasks, which grow with each try. */
 const RETRY_AFTER_MS = 50
 
 export class GroupReserver {
-  public constructor (private readonly _context: TryContext) {}
+  public constructor (private readonly _context: GroupReserverContext) {}
 
-  /** One try to start the tasks, which have begun their attempts. Afterwards they run, are queued again, or are missing. */
-  public async place (run: JobRun, tasks: readonly TaskRun[], asks: readonly IPlaceTask[], schedulers: readonly string[]): Promise<void> {
-    // The attempt number of its first task, which is higher than in any earlier try.
-    const gang = new GangReservation(asks[0]?.attempt ?? 0, asks, schedulers, DEFAULT_GANG_OPTIONS)
-    const attempt: ITry = { run, tasks, gang, holders: new Map(), isInDoubt: false }
+  /** Tries once to start the tasks, whose attempts have begun. Afterwards the tasks run, are queued again, or are missing. */
+  public async place (run: JobRun, tasks: readonly TaskRun[], requests: readonly IPlaceTask[], schedulers: readonly string[]): Promise<void> {
+    // The number of the try is the attempt number of its first task, which is higher than in any earlier try.
+    const gang = new GangReservation(requests[0]?.attempt ?? 0, requests, schedulers, DEFAULT_GANG_OPTIONS)
+    const reservation: IReservationTry = { run, tasks, gang, holders: new Map(), isInDoubt: false }
     while (gang.phase !== 'running' && gang.phase !== 'givenBack') {
       const commands = gang.commands(this._context.clock.nowMs())
-      await Promise.all(commands.map(async (command) => { await this._carryOut(attempt, command) }))
+      await Promise.all(commands.map(async (command) => { await this._carryOut(reservation, command) }))
     }
-    this._conclude(attempt)
+    this._applyOutcome(reservation)
   }
 
-  private async _carryOut (attempt: ITry, command: GangCommand): Promise<void> {
-    if (command.type === 'reserve') await this._reserve(attempt, command)
-    else if (command.type === 'start') await this._start(attempt, command.scheduler)
-    else await this._giveBack(attempt, command.scheduler)
+  private async _carryOut (reservation: IReservationTry, command: GangCommand): Promise<void> {
+    if (command.type === 'reserve') await this._reserve(reservation, command)
+    else if (command.type === 'start') await this._startReserved(reservation, command.scheduler)
+    else await this._giveBack(reservation, command.scheduler)
   }
 
-  private async _reserve (attempt: ITry, command: GangCommand & { readonly type: 'reserve' }): Promise<void> {
-    const { jobId } = attempt.run.job
-    const ask = { jobId, tasks: command.tasks, expiresMs: command.expiresMs, tryNumber: command.tryNumber }
-    const reply = await this._context.peers.call(command.scheduler, 'reserve', ask, CALL_TIMEOUT_MS)
+  private async _reserve (reservation: IReservationTry, command: GangCommand & { readonly type: 'reserve' }): Promise<void> {
+    const { jobId } = reservation.run.job
+    const request = { jobId, tasks: command.tasks, expiresMs: command.expiresMs, tryNumber: command.tryNumber }
+    const reply = await this._context.peers.call(command.scheduler, 'reserve', request, CALL_TIMEOUT_MS)
     if (reply.isErr()) {
-      attempt.gang.failed()
+      reservation.gang.failed()
       return
     }
-    for (const taskId of reply.value.reservedTaskIds) attempt.holders.set(taskId, command.scheduler)
-    attempt.gang.reserved(command.scheduler, reply.value.reservedTaskIds)
+    for (const taskId of reply.value.reservedTaskIds) reservation.holders.set(taskId, command.scheduler)
+    reservation.gang.reserved(command.scheduler, reply.value.reservedTaskIds)
   }
 
-  private async _start (attempt: ITry, scheduler: string): Promise<void> {
-    const reply = await this._context.peers.call(scheduler, 'startReserved', this._refOf(attempt), CALL_TIMEOUT_MS)
-    attempt.gang.started(scheduler, reply.isOk() && reply.value.started)
+  private async _startReserved (reservation: IReservationTry, scheduler: string): Promise<void> {
+    const reply = await this._context.peers.call(scheduler, 'startReserved', this._reservationRefOf(reservation), CALL_TIMEOUT_MS)
+    reservation.gang.started(scheduler, reply.isOk() && reply.value.started)
   }
 
-  private async _giveBack (attempt: ITry, scheduler: string): Promise<void> {
-    for (let tries = 0; tries < MAX_GIVE_BACKS; tries += 1) {
-      const reply = await this._context.peers.call(scheduler, 'dropReservation', this._refOf(attempt), CALL_TIMEOUT_MS)
+  private async _giveBack (reservation: IReservationTry, scheduler: string): Promise<void> {
+    for (let tries = 0; tries < MAX_GIVE_BACK_TRIES; tries += 1) {
+      const reply = await this._context.peers.call(scheduler, 'dropReservation', this._reservationRefOf(reservation), CALL_TIMEOUT_MS)
       if (reply.isOk()) {
-        attempt.gang.gaveBack(scheduler)
+        reservation.gang.gaveBack(scheduler)
         return
       }
-      await new Promise<void>((resolve) => { this._context.timers.after(GIVE_BACK_PAUSE_MS, resolve) })
+      await new Promise<void>((resolve) => { this._context.timers.after(GIVE_BACK_RETRY_MS, resolve) })
     }
-    attempt.isInDoubt = true
-    attempt.gang.gaveBack(scheduler)
+    reservation.isInDoubt = true
+    reservation.gang.gaveBack(scheduler)
   }
 
-  private _conclude (attempt: ITry): void {
+  private _applyOutcome (reservation: IReservationTry): void {
     const nowMs = this._context.clock.nowMs()
-    for (const task of attempt.tasks.filter((each) => each.state === 'starting')) {
-      if (attempt.gang.phase === 'running') task.scheduler ??= attempt.holders.get(task.spec.taskId)
-      else if (attempt.isInDoubt) this._doubt(attempt.run, task, nowMs)
-      else attempt.run.refused(task, nowMs, RETRY_AFTER_MS)
+    for (const task of reservation.tasks.filter((each) => each.state === 'starting')) {
+      if (reservation.gang.phase === 'running') task.scheduler ??= reservation.holders.get(task.spec.taskId)
+      else if (reservation.isInDoubt) this._markInDoubt(reservation.run, task, nowMs)
+      else reservation.run.markRefused(task, nowMs, RETRY_AFTER_MS)
     }
   }
 
-  /** It may run: it has to be found, and stopped before the next try. */
-  private _doubt (run: JobRun, task: TaskRun, nowMs: number): void {
+  /** Marks a task that may run: it must be found and stopped before the next try. */
+  private _markInDoubt (run: JobRun, task: TaskRun, nowMs: number): void {
     task.isStopWanted = true
-    run.lost(task, nowMs)
+    run.markLost(task, nowMs)
   }
 
-  private _refOf (attempt: ITry): { readonly jobId: string, readonly tryNumber: number } {
-    return { jobId: attempt.run.job.jobId, tryNumber: attempt.gang.tryNumber }
+  private _reservationRefOf (reservation: IReservationTry): { readonly jobId: string, readonly tryNumber: number } {
+    return { jobId: reservation.run.job.jobId, tryNumber: reservation.gang.tryNumber }
   }
 }
--- a/src/scheduler/jobs/HeldTasks.ts
+++ b/src/scheduler/jobs/HeldTasks.ts
@@ -1,6 +1,6 @@
 /**
- * The tasks that this scheduler holds, queued, starting or running, and for a while those that have ended here, so
- * that a job's owner who missed the news can ask.
+ * The tasks that this scheduler holds: queued, starting or running. Tasks that have ended here are kept for a limited time,
+ * so that a job's owner that missed the update can ask for it.
  */
 
 import { LRUCache } from 'lru-cache'
@@ -18,7 +18,7 @@
 export interface IHeldTask extends IAttempt {
   readonly itemId: string
   readonly item: IWorkItem
-  /** Who placed it; the present owner of the job may be another process. */
+  /** The process that placed the task; the job's current owner may be another one. */
   readonly placedBy: string
   phase: HeldPhase
   hostId: string | undefined
@@ -31,19 +31,19 @@
   readonly place: ITaskPlace
 }
 
-/** Longer than a takeover of an id shard lasts, outages of the store included, for most outages. */
-const ENDED_KEPT_MS = 600_000
-const MAX_ENDED_KEPT = 10_000
-/** The attempts known of tasks that are held no longer; longer than a command is on its way. */
-const MAX_ATTEMPTS_KEPT = 50_000
+/** Longer than a takeover of an id shard, including most store outages. */
+const ENDED_RETENTION_MS = 600_000
+const MAX_ENDED_TASKS = 10_000
+/** Most tasks that are no longer held but known to the fence: enough for longer than a command can be in transit. */
+const MAX_GONE_TASKS = 50_000
 
 export class HeldTasks {
   private readonly _byItem = new Map<string, IHeldTask>()
   private readonly _byTask = new Map<string, IHeldTask>()
-  private readonly _ended = new LRUCache<string, IEndedTask>({ max: MAX_ENDED_KEPT, ttl: ENDED_KEPT_MS })
-  /** Names of tasks that aren't held any more, of which the fence still knows. */
+  private readonly _ended = new LRUCache<string, IEndedTask>({ max: MAX_ENDED_TASKS, ttl: ENDED_RETENTION_MS })
+  /** Ids of tasks that are no longer held but still known to the fence. */
   private readonly _gone = new LRUCache<string, true>({
-    max: MAX_ATTEMPTS_KEPT,
+    max: MAX_GONE_TASKS,
     dispose: (_value, task, reason) => {
       if (reason === 'evict') this._fence.forget(task)
     }
@@ -61,12 +61,12 @@
     this._fence.noteHeld(hostTaskId(task.jobId, task.taskId), task.attempt)
   }
 
-  public byItem (itemId: string): IHeldTask | undefined {
+  public findByItem (itemId: string): IHeldTask | undefined {
     return this._byItem.get(itemId)
   }
 
-  /** The attempt of a task that is held here, whichever it is. */
-  public byTask (jobId: string, taskId: string): IHeldTask | undefined {
+  /** The held attempt of a task, whatever its number. */
+  public findByTask (jobId: string, taskId: string): IHeldTask | undefined {
     return this._byTask.get(hostTaskId(jobId, taskId))
   }
 
@@ -74,37 +74,37 @@
     this._byItem.delete(task.itemId)
     const key = hostTaskId(task.jobId, task.taskId)
     if (this._byTask.get(key) === task) this._byTask.delete(key)
-    this._noteGone(key, task.attempt)
+    this._recordGone(key, task.attempt)
   }
 
   public values (): Iterable<IHeldTask> {
     return this._byItem.values()
   }
 
-  public noteEnded (jobId: string, place: ITaskPlace): void {
-    this._noteGone(hostTaskId(jobId, place.taskId), place.attempt)
+  public recordEnd (jobId: string, place: ITaskPlace): void {
+    this._recordGone(hostTaskId(jobId, place.taskId), place.attempt)
     this._ended.set(itemIdOf({ jobId, taskId: place.taskId, attempt: place.attempt }), { jobId, place })
   }
 
-  public endOf (attempt: IAttempt): IEndedTask | undefined {
+  public findEnded (attempt: IAttempt): IEndedTask | undefined {
     return this._ended.get(itemIdOf(attempt))
   }
 
-  /** Those that have ended lately, of these jobs or of all. */
-  public ended (jobIds: readonly string[] | undefined): readonly IEndedTask[] {
+  /** The tasks that have ended recently, of the given jobs or of all jobs. */
+  public endedTasks (jobIds: readonly string[] | undefined): readonly IEndedTask[] {
     const ended = [...this._ended.values()]
     if (jobIds === undefined) return ended
-    const asked = new Set(jobIds)
-    return ended.filter(({ jobId }) => asked.has(jobId))
+    const requestedJobIds = new Set(jobIds)
+    return ended.filter(({ jobId }) => requestedJobIds.has(jobId))
   }
 
-  private _noteGone (task: string, attempt: number): void {
+  private _recordGone (task: string, attempt: number): void {
     this._fence.noteGone(task, attempt)
     this._gone.set(task, true)
   }
 }
 
-/** What the owner of its job is told of it. */
+/** The place of a task as it is reported to the owner of its job. */
 export function placeOf (task: IHeldTask): ITaskPlace {
   const { taskId, attempt, hostId, shardId } = task
   const state = task.phase === 'running' ? 'running' : 'queued'
--- a/src/scheduler/jobs/JobPeers.ts
+++ b/src/scheduler/jobs/JobPeers.ts
@@ -1,5 +1,5 @@
 /**
- * The schedulers by process id, this one included: a call to ourselves goes to the handler without a link.
+ * Calls and casts to schedulers by process id. Those to this process go directly to the handler, without a link.
  */
 
 import { ResultAsync, errAsync, okAsync } from 'neverthrow'
@@ -12,17 +12,17 @@
 import type { IJobPeers } from './Types.js'
 
 /**
- * Shorter than the leases that must lapse before a silent process is replaced, by more than clocks run apart, and
- * longer than the pause between heartbeats.
+ * Longer than the interval between heartbeats, and shorter than the leases that must lapse before a silent process is
+ * replaced, by more than the possible drift of clocks.
  */
-const HEARD_LATELY_MS = 2000
+const RECENT_CONTACT_MS = 2000
 
-type Handler<N extends PeerCallName> = (ask: IPeerCalls[N]['ask']) => IPeerCalls[N]['reply'] | Promise<IPeerCalls[N]['reply']>
+type Handler<N extends PeerCallName> = (request: IPeerCalls[N]['ask']) => IPeerCalls[N]['reply'] | Promise<IPeerCalls[N]['reply']>
 type UpdateListener = (cast: IPeerCasts['taskUpdate'], from: string) => void
 
 export class JobPeers implements IJobPeers {
   private readonly _handlers: { [N in PeerCallName]?: Handler<N> } = {}
-  private _onUpdate: UpdateListener = () => {}
+  private _updateListener: UpdateListener = () => {}
 
   public constructor (private readonly _hub: IPeerHub, private readonly _clock: IClock) {}
 
@@ -30,14 +30,14 @@
     return this._hub.self
   }
 
-  /** What answers a call, from others and from ourselves. */
+  /** Registers the handler of a call, from peers and from this process. */
   public handle<N extends PeerCallName> (name: N, handler: Handler<N>): void {
     Object.assign(this._handlers, { [name]: handler })
-    this._hub.handle(name, async (ask) => await handler(ask))
+    this._hub.handle(name, async (request) => await handler(request))
   }
 
   public listen (listener: UpdateListener): IDisposable {
-    this._onUpdate = listener
+    this._updateListener = listener
     return this._hub.listen('taskUpdate', (cast, from) => { listener(cast, from.processId) })
   }
 
@@ -48,20 +48,20 @@
   public heardLately (processId: string): boolean {
     if (processId === this.self.processId) return true
     const link = this._hub.link(processId)
-    return link !== undefined && this._clock.nowMs() - link.lastHeardMs <= HEARD_LATELY_MS
+    return link !== undefined && this._clock.nowMs() - link.lastHeardMs <= RECENT_CONTACT_MS
   }
 
   public call<N extends PeerCallName> (
-    processId: string, name: N, ask: IPeerCalls[N]['ask'], timeoutMs: number
+    processId: string, name: N, request: IPeerCalls[N]['ask'], timeoutMs: number
   ): ResultAsync<IPeerCalls[N]['reply'], PeerError> {
-    if (processId === this.self.processId) return this._callSelf(name, ask)
+    if (processId === this.self.processId) return this._callSelf(name, request)
     const link = this._hub.link(processId)
     if (link === undefined) return errAsync(new UnreachableError(`peer.${name}`, processId, 'no link'))
-    return link.call(name, ask, timeoutMs)
+    return link.call(name, request, timeoutMs)
   }
 
   public cast (processId: string, name: 'taskUpdate', cast: IPeerCasts['taskUpdate']): void {
-    if (processId === this.self.processId) queueMicrotask(() => { this._onUpdate(cast, processId) })
+    if (processId === this.self.processId) queueMicrotask(() => { this._updateListener(cast, processId) })
     else this._hub.link(processId)?.cast(name, cast)
   }
 
@@ -69,11 +69,11 @@
     return this._hub.onLost(listener)
   }
 
-  private _callSelf<N extends PeerCallName> (name: N, ask: IPeerCalls[N]['ask']): ResultAsync<IPeerCalls[N]['reply'], PeerError> {
+  private _callSelf<N extends PeerCallName> (name: N, request: IPeerCalls[N]['ask']): ResultAsync<IPeerCalls[N]['reply'], PeerError> {
     const handler: Handler<N> | undefined = this._handlers[name]
     if (handler === undefined) return errAsync(new UnreachableError(`peer.${name}`, this.self.processId, 'no handler'))
-    return okAsync(ask).andThen((asked) => ResultAsync.fromPromise(
-      Promise.resolve(handler(asked)),
+    return okAsync(request).andThen((received) => ResultAsync.fromPromise(
+      Promise.resolve(handler(received)),
       (cause) => new AmbiguousError(`peer.${name}`, this.self.processId, 'the handler broke off', { cause })))
   }
 }
--- a/src/scheduler/jobs/JobRun.ts
+++ b/src/scheduler/jobs/JobRun.ts
@@ -1,10 +1,10 @@
 /**
- * One accepted job and its tasks: what each piece of news means for it, and what is to be done next. Free of I/O.
+ * One accepted job and its tasks: applies updates of its tasks and decides which tasks to place or stop next. Does no I/O.
  *
- * A task that failed is tried again up to the retries of its profile, each time on another host; one that was stopped,
- * preempted or lost with its host is tried again without counting. The tasks of a long-running service are started
- * anew whenever they end. When a task of an all-at-once job ends without success, the others are stopped and all
- * unfinished ones start anew together.
+ * A failed task is retried up to the retries of its profile, each time on another host. A task that was stopped,
+ * preempted or lost with its host is started again without using up a retry. The tasks of a long-running service are
+ * started again whenever they end. When a task of an all-at-once job ends without success, the other tasks are stopped,
+ * and all unfinished tasks start again together.
  */
 
 import { firstAttempt } from './TaskIds.js'
@@ -22,18 +22,18 @@
 export interface IJobRunContext {
   readonly taskChart: ChartTable
   readonly random: IRandom
-  /** Looked up anew each time: operators may change the profile while the job runs. */
+  /** Called each time the rules are needed, because operators may change the profile while the job runs. */
   readonly rules: () => IJobRules
 }
 
-/** A stop whose effect isn't told is asked for again. */
-const STOP_AGAIN_MS = 1000
+/** A stop is requested again after this time if the end of the attempt hasn't been reported. */
+const STOP_RETRY_MS = 1000
 
 export class JobRun {
   private readonly _tasks = new Map<string, TaskRun>()
   private _isCancelled = false
   private _hasFailed = false
-  /** Set once its end is in the store. */
+  /** Set once the job's end is in the store. */
   public storedEnd: JobState | undefined
   public isStoringEnd = false
 
@@ -53,7 +53,7 @@
     return this._context.rules().allAtOnce && this._tasks.size > 1
   }
 
-  /** How it ended or is going to end; nothing while that is open. */
+  /** How the job ended or is going to end; undefined while that is open. */
   public get end (): JobState | undefined {
     if (this._isCancelled) return 'cancelled'
     if (this._hasFailed) return 'failed'
@@ -69,53 +69,53 @@
     for (const task of this._tasks.values()) task.markRecovered(nowMs)
   }
 
-  /** The tasks to place now: each by itself, or of an all-at-once job all that are unfinished, once all are free. */
-  public ready (nowMs: MonotonicMs): readonly TaskRun[] {
+  /** The tasks to place now. Of an all-at-once job, either all unfinished tasks, once all of them can be placed, or none. */
+  public tasksToPlace (nowMs: MonotonicMs): readonly TaskRun[] {
     if (this.end !== undefined) return []
     const unfinished = [...this._tasks.values()].filter((task) => !task.isFinal)
     const ready = unfinished.filter((task) => task.state === 'queued' && task.notBeforeMs <= nowMs)
     return this.isAllAtOnce && ready.length < unfinished.length ? [] : ready
   }
 
-  /** The tasks whose attempts are to be stopped now; each is given again until its end is told. */
-  public toStop (nowMs: MonotonicMs): readonly TaskRun[] {
-    const due = [...this._tasks.values()].filter((task) => task.isStopWanted && nowMs - task.stopAskedAtMs >= STOP_AGAIN_MS)
-    for (const task of due) task.stopAskedAtMs = nowMs
+  /** The tasks whose attempts are to be stopped now; each is returned repeatedly until its end is reported. */
+  public tasksToStop (nowMs: MonotonicMs): readonly TaskRun[] {
+    const due = [...this._tasks.values()].filter((task) => task.isStopWanted && nowMs - task.stopRequestedAtMs >= STOP_RETRY_MS)
+    for (const task of due) task.stopRequestedAtMs = nowMs
     return due
   }
 
-  /** The scheduler that was asked won't have it: try again after a pause. */
-  public refused (task: TaskRun, nowMs: MonotonicMs, retryAfterMs: number): void {
-    task.step('HOST_REFUSED', nowMs)
-    task.pause(nowMs, 0, this._context.random)
+  /** The scheduler refused the task: it is placed again after a pause. */
+  public markRefused (task: TaskRun, nowMs: MonotonicMs, retryAfterMs: number): void {
+    task.applyEvent('HOST_REFUSED', nowMs)
+    task.postpone(nowMs, 0, this._context.random)
     task.notBeforeMs = Math.max(task.notBeforeMs, nowMs + retryAfterMs * (0.5 + 0.5 * this._context.random.next()))
   }
 
-  /** The scheduler may have it or not, or may have it no longer. */
-  public lost (task: TaskRun, nowMs: MonotonicMs): void {
-    task.lose(nowMs)
+  /** It is unknown whether the scheduler holds the task. */
+  public markLost (task: TaskRun, nowMs: MonotonicMs): void {
+    task.markLost(nowMs)
   }
 
-  /** The link to a scheduler is gone, so news of its tasks may be missed. */
-  public schedulerLost (processId: string, nowMs: MonotonicMs): void {
+  /** The link to a scheduler is gone, so updates of its tasks may be lost. */
+  public markLostAt (processId: string, nowMs: MonotonicMs): void {
     for (const task of this._tasks.values()) {
-      if (task.scheduler === processId) this.lost(task, nowMs)
+      if (task.scheduler === processId) this.markLost(task, nowMs)
     }
   }
 
-  /** All schedulers have been asked, and none has it: it runs nowhere. */
-  public absent (task: TaskRun, nowMs: MonotonicMs): void {
-    this._endedWithoutResult(task, nowMs)
+  /** No scheduler holds the task, after all have been asked: it runs nowhere. */
+  public markAbsent (task: TaskRun, nowMs: MonotonicMs): void {
+    this._handleEndWithoutSuccess(task, nowMs)
   }
 
-  /** News of a task; false when it is of an attempt that is none of ours, and is to be stopped. */
-  public update (place: ITaskPlace, from: string, nowMs: MonotonicMs): boolean {
+  /** Applies an update of a task; false if its attempt doesn't belong to the job, and must be stopped if it is live. */
+  public applyUpdate (place: ITaskPlace, from: string, nowMs: MonotonicMs): boolean {
     const task = this._tasks.get(place.taskId)
     if (task === undefined) return false
     const isLive = place.state === 'running' || place.state === 'queued'
-    if (task.attempt === 0 && task.isMissing) this._takeRecovered(task, place)
+    if (task.attempt === 0 && task.isMissing) this._adoptRecovered(task, place)
     if (place.attempt !== task.attempt || task.isFinal) return !isLive
-    this._take(task, place, from, nowMs)
+    this._applyPlace(task, place, from, nowMs)
     return true
   }
 
@@ -132,74 +132,74 @@
   }
 
   /**
-   * Of a task that an earlier owner started, a live attempt or a success is taken over. That an attempt failed or was
-   * stopped says nothing, since a later one may run elsewhere.
+   * Adopts an attempt that an earlier owner started if it is live or has succeeded. A failed or stopped attempt is
+   * ignored, because a later attempt may run elsewhere.
    */
-  private _takeRecovered (task: TaskRun, place: ITaskPlace): void {
-    if (place.state === 'running' || place.state === 'queued' || place.state === 'succeeded') task.adopt(place.attempt)
+  private _adoptRecovered (task: TaskRun, place: ITaskPlace): void {
+    if (place.state === 'running' || place.state === 'queued' || place.state === 'succeeded') task.adoptAttempt(place.attempt)
   }
 
-  private _take (task: TaskRun, place: ITaskPlace, from: string, nowMs: MonotonicMs): void {
+  private _applyPlace (task: TaskRun, place: ITaskPlace, from: string, nowMs: MonotonicMs): void {
     switch (place.state) {
-      case 'queued': this._found(task, from); break
-      case 'running': this._runs(task, place, from, nowMs); break
-      case 'unsure': if (task.scheduler === from) this.lost(task, nowMs); break
-      case 'succeeded': this._succeeded(task, nowMs); break
-      case 'failed': this._failed(task, place, nowMs); break
-      default: this._endedWithoutResult(task, nowMs)
+      case 'queued': this._markQueuedAt(task, from); break
+      case 'running': this._markRunning(task, place, from, nowMs); break
+      case 'unsure': if (task.scheduler === from) this.markLost(task, nowMs); break
+      case 'succeeded': this._handleSuccess(task, nowMs); break
+      case 'failed': this._handleFailure(task, place, nowMs); break
+      default: this._handleEndWithoutSuccess(task, nowMs)
     }
   }
 
-  private _found (task: TaskRun, from: string): void {
+  private _markQueuedAt (task: TaskRun, from: string): void {
     task.scheduler = from
     task.isMissing = false
   }
 
-  private _runs (task: TaskRun, place: ITaskPlace, from: string, nowMs: MonotonicMs): void {
-    task.step('HOST_RUNS', nowMs)
+  private _markRunning (task: TaskRun, place: ITaskPlace, from: string, nowMs: MonotonicMs): void {
+    task.applyEvent('HOST_RUNS', nowMs)
     task.isMissing = false
     task.scheduler = from
     task.hostId = place.hostId
     task.shardId = place.shardId
   }
 
-  private _succeeded (task: TaskRun, nowMs: MonotonicMs): void {
+  private _handleSuccess (task: TaskRun, nowMs: MonotonicMs): void {
     if (this.job.longRunning) {
-      this._endedWithoutResult(task, nowMs)
+      this._handleEndWithoutSuccess(task, nowMs)
       return
     }
-    this._ensureRan(task, nowMs)
-    task.step('SUCCEEDED', nowMs)
+    this._ensureRunning(task, nowMs)
+    task.applyEvent('SUCCEEDED', nowMs)
   }
 
-  private _failed (task: TaskRun, place: ITaskPlace, nowMs: MonotonicMs): void {
+  private _handleFailure (task: TaskRun, place: ITaskPlace, nowMs: MonotonicMs): void {
     task.failures += 1
-    task.avoid(place.hostId)
+    task.avoidHost(place.hostId)
     const isExhausted = !this.job.longRunning && task.failures > this._context.rules().maxRetries
     if (!isExhausted || task.state === 'stopping') {
-      this._endedWithoutResult(task, nowMs)
+      this._handleEndWithoutSuccess(task, nowMs)
       return
     }
-    this._ensureRan(task, nowMs)
-    task.step('FAILED', nowMs)
+    this._ensureRunning(task, nowMs)
+    task.applyEvent('FAILED', nowMs)
     this._hasFailed = true
     this._stopAll(nowMs)
   }
 
-  /** The news that it ran may have been overtaken by the news of its end. */
-  private _ensureRan (task: TaskRun, nowMs: MonotonicMs): void {
-    if (task.state === 'starting') task.step('HOST_RUNS', nowMs)
+  /** Marks a starting task as running: the update of its end may have overtaken the update that it runs. */
+  private _ensureRunning (task: TaskRun, nowMs: MonotonicMs): void {
+    if (task.state === 'starting') task.applyEvent('HOST_RUNS', nowMs)
   }
 
-  private _endedWithoutResult (task: TaskRun, nowMs: MonotonicMs): void {
-    const ranMs = task.state === 'running' ? nowMs - task.sinceMs : 0
-    task.step('HOST_ENDED', nowMs)
+  private _handleEndWithoutSuccess (task: TaskRun, nowMs: MonotonicMs): void {
+    const ranMs = task.state === 'running' ? nowMs - task.stateSinceMs : 0
+    task.applyEvent('HOST_ENDED', nowMs)
     if (task.isFinal) return
-    task.pause(nowMs, ranMs, this._context.random)
-    if (this.isAllAtOnce) this._regroup(task)
+    task.postpone(nowMs, ranMs, this._context.random)
+    if (this.isAllAtOnce) this._stopOthers(task)
   }
 
-  private _regroup (ended: TaskRun): void {
+  private _stopOthers (ended: TaskRun): void {
     for (const task of this._tasks.values()) {
       if (task !== ended && !task.isFinal && task.state !== 'queued') task.isStopWanted = true
     }
@@ -208,7 +208,7 @@
   private _stopAll (nowMs: MonotonicMs): void {
     for (const task of this._tasks.values()) {
       if (task.isFinal) continue
-      task.step('CANCEL', nowMs)
+      task.applyEvent('CANCEL', nowMs)
       if (!task.isFinal) task.isStopWanted = true
     }
   }
--- a/src/scheduler/jobs/JobsOverLinks.test.ts
+++ b/src/scheduler/jobs/JobsOverLinks.test.ts
@@ -1,5 +1,5 @@
 /**
- * Jobs over the real links and the real worker client, on worker stand-ins whose clocks differ.
+ * Jobs over real links and the real worker client, on worker stand-ins with different clocks.
  */
 
 import test from 'ava'
@@ -36,7 +36,7 @@
   readonly url: string
   readonly jobs: JobOwner
   readonly owned: Map<string, number>
-  take (shardId: string, epoch: number): void
+  takeShard (shardId: string, epoch: number): void
   summary (): ILoadSummary
   close (): Promise<void>
 }
@@ -49,7 +49,7 @@
 }
 
 const CLOCK_STEP_MS = 1_000_000
-/** A summary holds for a while, as it does between processes. */
+/** A summary is reused for this time, as it is between processes. */
 const SUMMARY_MS = 500
 
 async function startScheduler (t: ExecutionContext, cell: ICell, processId: string): Promise<IScheduler> {
@@ -78,26 +78,26 @@
   const taskChart = loadChart('task')._unsafeUnwrap()
   const jobs = new JobOwner({ ...common, jobLog: cell.log, hosts: () => cell.hosts, taskChart, random: new SeededRandom(2) })
   serveJobs(peers, tasks, jobs)
-  let told: { readonly atMs: number, readonly owned: string, readonly summary?: ILoadSummary } = { atMs: -Infinity, owned: '' }
+  let cached: { readonly atMs: number, readonly owned: string, readonly summary?: ILoadSummary } = { atMs: -Infinity, owned: '' }
   const scheduler: IScheduler = {
     hub,
     url,
     jobs,
     owned,
-    take: (shardId, epoch) => {
+    takeShard: (shardId, epoch) => {
       owned.set(shardId, epoch)
       if (shardId === ID_SHARD) jobs.takeOver(shardId, epoch, cell.log.table.live())
       else acquired.fire({ shardId, epoch })
     },
     summary: () => {
-      if (clock.nowMs() - told.atMs < SUMMARY_MS && told.owned === [...owned].join()) return told.summary as ILoadSummary
+      if (clock.nowMs() - cached.atMs < SUMMARY_MS && cached.owned === [...owned].join()) return cached.summary as ILoadSummary
       const { capacity, used, largestFree, expectedWaitMs, queued } = engine.load()
       const free = { ...capacity, cores: capacity.cores - used.cores }
-      const mine = [...owned].map(([shardId, epoch]) => ({
+      const ownShards = [...owned].map(([shardId, epoch]) => ({
         shardId, kind: shardId === ID_SHARD ? 'ids' as const : 'workers' as const, epoch, freeSlots: 0, totalSlots: 0, free, largestFree
       }))
-      const summary = { ...hub.self, draining: false, storeReachable: true, shards: mine, expectedWaitMs, queued }
-      told = { atMs: clock.nowMs(), owned: [...owned].join(), summary }
+      const summary = { ...hub.self, draining: false, storeReachable: true, shards: ownShards, expectedWaitMs, queued }
+      cached = { atMs: clock.nowMs(), owned: [...owned].join(), summary }
       return summary
     },
     close: async () => {
@@ -114,7 +114,7 @@
   return scheduler
 }
 
-async function startCell (t: ExecutionContext): Promise<ICell> {
+async function createCell (t: ExecutionContext): Promise<ICell> {
   const started = await Promise.all([0, 1].map((index) => startWorker(t, index * CLOCK_STEP_MS)))
   const hosts = started.map(({ url }, index): IHostRecord => ({
     hostId: `w${index}`,
@@ -131,62 +131,63 @@
   return { hosts, standIns: started.map(({ standIn }) => standIn), log: new FakeJobLog(), schedulers: [] }
 }
 
-async function link (from: IScheduler, to: IScheduler): Promise<void> {
+async function linkSchedulers (from: IScheduler, to: IScheduler): Promise<void> {
   from.hub.dial(to.url, to.hub.self.processId)
   await eventually('the link', () => from.hub.link(to.hub.self.processId) !== undefined && to.hub.link(from.hub.self.processId) !== undefined)
 }
 
-function dumps (cell: ICell): readonly IWorkerDump[] {
+function workerDumps (cell: ICell): readonly IWorkerDump[] {
   return cell.standIns.map((standIn) => standIn.dump() as IWorkerDump)
 }
 
-async function ends (cell: ICell, at: IScheduler, job: IJobSpec): Promise<string> {
+async function endStateOf (cell: ICell, at: IScheduler, job: IJobSpec): Promise<string> {
   return await eventually(`the end of ${job.jobId}`, () => {
     const { status } = at.jobs.status(job.jobId)
     return status !== undefined && ['succeeded', 'failed', 'cancelled'].includes(status.state) && status.state
   })
 }
 
-test('a job over two schedulers, one of which goes while its tasks run', async (t) => {
-  // One scheduler disappears with tasks on its worker. The other takes its workers over, finds the tasks there and lets
-  // them end; none of them may run a second time, on either worker.
-  const cell = await startCell(t)
+test('a job on two schedulers ends although one of them stops while its tasks run', async (t) => {
+  // One scheduler disappears while tasks run on its worker. The other one takes the worker over, finds the tasks there and
+  // lets them end; none of them may run a second time on any worker.
+  const cell = await createCell(t)
   const first = await startScheduler(t, cell, 's0')
   const second = await startScheduler(t, cell, 's1')
-  await link(first, second)
-  first.take(ID_SHARD, 1)
-  first.take('workers/r0', 1)
-  second.take('workers/r1', 1)
-  await eventually('both workers are in use', () => cell.schedulers.every((scheduler) => scheduler.summary().shards.some((shard) => shard.free.cores === 8)))
+  await linkSchedulers(first, second)
+  first.takeShard(ID_SHARD, 1)
+  first.takeShard('workers/r0', 1)
+  second.takeShard('workers/r1', 1)
+  await eventually('both workers are in use', () => cell.schedulers.every((scheduler) =>
+    scheduler.summary().shards.some((shard) => shard.free.cores === 8)))
   const job = jobOf(16, 3000)
   t.like(await first.jobs.submit(job), { outcome: 'done' })
-  await eventually('all tasks run', () => dumps(cell).every((dump) => dump.running === 8))
+  await eventually('all tasks run', () => workerDumps(cell).every((dump) => dump.running === 8))
   await second.close()
-  first.take('workers/r1', 2)
-  t.is(await ends(cell, first, job), 'succeeded')
-  const records = dumps(cell).flatMap((dump) => dump.records)
+  first.takeShard('workers/r1', 2)
+  t.is(await endStateOf(cell, first, job), 'succeeded')
+  const records = workerDumps(cell).flatMap((dump) => dump.records)
   t.is(records.length, 16)
   t.true(records.every((record) => record.end === 'succeeded'))
-  t.true(dumps(cell).every((dump) => dump.overCapacity === 0 && dump.doubleRuns === 0))
+  t.true(workerDumps(cell).every((dump) => dump.overCapacity === 0 && dump.doubleRuns === 0))
 })
 
-test('a job whose owner goes is carried on by the next one, and can be cancelled there', async (t) => {
-  // The process that accepted a job is gone. The next owner of its id knows it from the store and finds its tasks at the
-  // other schedulers, so that its caller can still ask for it and cancel it.
-  const cell = await startCell(t)
+test('a job whose owner stops is continued by the next owner and can be cancelled there', async (t) => {
+  // The process that accepted a job is gone. The next owner of the job's id shard knows the job from the store and finds its
+  // tasks at the schedulers, so that the caller can still query and cancel the job.
+  const cell = await createCell(t)
   const first = await startScheduler(t, cell, 's0')
   const second = await startScheduler(t, cell, 's1')
-  await link(first, second)
-  first.take(ID_SHARD, 1)
-  second.take('workers/r0', 1)
-  second.take('workers/r1', 1)
+  await linkSchedulers(first, second)
+  first.takeShard(ID_SHARD, 1)
+  second.takeShard('workers/r0', 1)
+  second.takeShard('workers/r1', 1)
   await eventually('both workers are in use', () => second.summary().shards.some((shard) => shard.free.cores === 16))
   t.like(await first.jobs.submit(jobOf(4, undefined, { longRunning: true })), { outcome: 'done' })
-  await eventually('all tasks run', () => dumps(cell).reduce((sum, dump) => sum + dump.running, 0) === 4)
+  await eventually('all tasks run', () => workerDumps(cell).reduce((sum, dump) => sum + dump.running, 0) === 4)
   await first.close()
-  second.take(ID_SHARD, 2)
+  second.takeShard(ID_SHARD, 2)
   await eventually('all tasks are found', () => second.jobs.status('job').status?.tasks.every((task) => task.state === 'running'))
   t.is((await second.jobs.cancel('job')).status?.state, 'cancelled')
-  await eventually('all tasks are stopped', () => dumps(cell).every((dump) => dump.running === 0))
-  t.is(dumps(cell).flatMap((dump) => dump.records).length, 4)
+  await eventually('all tasks are stopped', () => workerDumps(cell).every((dump) => dump.running === 0))
+  t.is(workerDumps(cell).flatMap((dump) => dump.records).length, 4)
 })
--- a/src/scheduler/jobs/LiveAttempts.ts
+++ b/src/scheduler/jobs/LiveAttempts.ts
@@ -1,8 +1,8 @@
 /**
- * The attempts that run on one worker or may: what its answers and its leases say of them.
+ * The attempts that run or may run on one worker, tracked by the worker's answers and by their leases.
  *
- * Everything that is told of an attempt is certain: it runs, by the host's word; it has ended, by the host's word or
- * because its lease has lapsed on the host's clock.
+ * Every reported event is certain: an attempt runs because the host lists it; it has ended because the host reported its
+ * end, or because its lease has lapsed on the host's clock.
  */
 
 import { TaskLeases } from '../../common/state/TaskLeases.js'
@@ -16,12 +16,12 @@
 
 export interface ILiveAttempt {
   readonly start: IAttemptStart
-  /** The name by which the host knows its task. */
-  readonly hostTask: string
-  /** Counts the host's confirmations: the number at which it first listed this one. */
-  confirmedAt: number | undefined
+  /** The id under which the host knows the task. */
+  readonly hostTaskId: string
+  /** The number of the confirmation by which the host first listed this attempt as running. */
+  confirmationNumber: number | undefined
   isStopping: boolean
-  /** A start or a stop of it is under way. */
+  /** A call that starts or stops the attempt hasn't returned yet. */
   isCalling: boolean
 }
 
@@ -30,13 +30,13 @@
 export class LiveAttempts {
   private readonly _leases: TaskLeases
   private readonly _live = new Map<string, ILiveAttempt>()
-  private _confirmations = 0
+  private _confirmationCount = 0
 
   public constructor (private readonly _hostId: string, options: ITaskLeasesOptions, private readonly _events: AttemptEvents) {
     this._leases = new TaskLeases(options)
   }
 
-  /** Whether the host has accepted our epoch and told all that it runs. */
+  /** Whether the host has accepted this process's epoch and listed all attempts that it runs. */
   public get fenced (): boolean {
     return this._leases.fenced
   }
@@ -45,14 +45,14 @@
     return this._live.size
   }
 
-  /** To be remembered when a request is sent, for `note`. */
-  public get confirmations (): number {
-    return this._confirmations
+  /** The number of confirmations so far. A sync saves it when it is sent and passes it to `endUnlisted`. */
+  public get confirmationCount (): number {
+    return this._confirmationCount
   }
 
   public add (start: IAttemptStart): ILiveAttempt {
     const hostTask = hostTaskId(start.jobId, start.taskId)
-    const live: ILiveAttempt = { start, hostTask, confirmedAt: undefined, isStopping: false, isCalling: false }
+    const live: ILiveAttempt = { start, hostTaskId: hostTask, confirmationNumber: undefined, isStopping: false, isCalling: false }
     this._live.set(hostTask, live)
     return live
   }
@@ -63,77 +63,78 @@
   }
 
   public has (live: ILiveAttempt): boolean {
-    return this._live.get(live.hostTask) === live
+    return this._live.get(live.hostTaskId) === live
   }
 
-  /** Started here and not yet seen by the host, with no call for it under way. */
+  /** Attempts that the host hasn't listed as running yet and for which no call is in progress. */
   public unconfirmed (): readonly ILiveAttempt[] {
-    return [...this._live.values()].filter((live) => live.confirmedAt === undefined && !live.isCalling)
+    return [...this._live.values()].filter((live) => live.confirmationNumber === undefined && !live.isCalling)
   }
 
-  /** The host has accepted our epoch: takes in what an earlier owner started there. */
+  /** Adopts the attempts that an earlier owner started, after the host has accepted this process's epoch. */
   public adopt (status: IWorkerStatus, clock: IHostClockSnapshot): void {
     this._leases.noteFenced(clock, status.tasks.map(toReport))
     const running = status.tasks.filter((task) => task.state === 'running').map(toStart)
-    for (const start of running) this.add(start).confirmedAt = ++this._confirmations
+    for (const start of running) this.add(start).confirmationNumber = ++this._confirmationCount
     this._events.onAdopted(this._hostId, running)
     for (const task of status.tasks) {
       if (task.state !== 'running') this._events.onEnded(this._hostId, toStart(task), task.state)
     }
   }
 
-  /** Takes in an answer to a start or a stop. */
-  public note (status: IWorkerStatus, clock: IHostClockSnapshot): void {
+  /** Applies the status that the host returned to a sync, a start or a stop. */
+  public applyStatus (status: IWorkerStatus, clock: IHostClockSnapshot): void {
     this._leases.noteList(clock, status.tasks.map(toReport))
-    for (const task of status.tasks) this._noteTask(task)
+    for (const task of status.tasks) this._applyTaskStatus(task)
   }
 
   /**
-   * Ends attempts that the host had listed before it was asked (`confirmations` then) and lists no more, neither as
-   * running nor as ended.
+   * Ends attempts that the host had listed before the sync was sent (`confirmationCount` at that time) and that it no longer
+   * lists, neither as running nor as ended.
    *
-   * A host that was restarted has forgotten them, and they died with it. Without this, its places would stay taken,
-   * and the tasks would wait for the end of leases that are renewed for ever. True: there are others that are not listed,
-   * about which only an answer to a later question can tell.
+   * A host that was restarted doesn't know its earlier attempts, which ended with the restart. Without this method, their
+   * places would stay taken, and their tasks would wait for leases that are renewed for ever. Returns true if further
+   * attempts aren't listed, of which only the answer to a later sync shows whether they have ended.
    */
-  public endUnlisted (status: IWorkerStatus, confirmations: number): boolean {
+  public endUnlisted (status: IWorkerStatus, confirmationCount: number): boolean {
     const listed = new Set(status.tasks.map((task) => `${task.taskId}#${task.attempt}`))
-    const unlisted = [...this._live.values()].filter((live) => live.confirmedAt !== undefined && !listed.has(`${live.hostTask}#${live.start.attempt}`))
-    const judged = unlisted.filter((live) => (live.confirmedAt ?? 0) <= confirmations)
-    for (const live of judged) this.end(live, 'lost')
-    return judged.length < unlisted.length
+    const unlisted = [...this._live.values()]
+      .filter((live) => live.confirmationNumber !== undefined && !listed.has(`${live.hostTaskId}#${live.start.attempt}`))
+    const decidable = unlisted.filter((live) => (live.confirmationNumber ?? 0) <= confirmationCount)
+    for (const live of decidable) this.end(live, 'lost')
+    return decidable.length < unlisted.length
   }
 
-  /** The new end of all leases; noted before it is sent, because it counts even if no answer comes. */
+  /** Renews all leases and returns their new end. It is recorded before it is sent, because it counts even if no answer comes. */
   public renew (nowMs: MonotonicMs): number {
     const expiresHostMs = this._leases.expiryFor(nowMs) ?? 0
-    for (const live of this._live.values()) this._leases.noteSent(live.hostTask, live.start.attempt, expiresHostMs)
+    for (const live of this._live.values()) this._leases.noteSent(live.hostTaskId, live.start.attempt, expiresHostMs)
     return expiresHostMs
   }
 
-  /** What is sent to start them, noted as sent. */
-  public toStarts (lives: readonly ILiveAttempt[], nowMs: MonotonicMs): readonly ITaskStart[] {
+  /** The start requests of the attempts, whose leases are recorded as sent. */
+  public toStarts (attempts: readonly ILiveAttempt[], nowMs: MonotonicMs): readonly ITaskStart[] {
     const leaseExpiresHostMs = this._leases.expiryFor(nowMs) ?? 0
-    return lives.map(({ hostTask, start }) => {
+    return attempts.map(({ hostTaskId: hostTask, start }) => {
       const { attempt, jobId, service, resources, runMs } = start
       this._leases.noteSent(hostTask, attempt, leaseExpiresHostMs)
       return { taskId: hostTask, attempt, jobId, service, resources, leaseExpiresHostMs, ...(runMs === undefined ? {} : { runMs }) }
     })
   }
 
-  /** Ends what has lapsed. True: some seem to have, which counts once the store has confirmed that the shard is ours. */
+  /** Ends attempts whose leases have lapsed. True: some seem to have lapsed, but the store must first confirm the shard's owner. */
   public endLapsed (nowMs: MonotonicMs): boolean {
     let isUnconfirmed = false
     for (const live of [...this._live.values()]) {
-      const next = this._leases.nextAttempt(live.hostTask, live.start.attempt, nowMs)
+      const next = this._leases.nextAttempt(live.hostTaskId, live.start.attempt, nowMs)
       if (next === 'lapsed' || next === 'ended') this.end(live, 'lost')
       if (next === 'unconfirmed') isUnconfirmed = true
     }
     return isUnconfirmed
   }
 
-  /** The store has shown that the shard is ours, in a read sent at `sentAtMs`. */
-  public noteConfirmed (sentAtMs: MonotonicMs): void {
+  /** Records that a read of the store, sent at `sentAtMs`, confirmed that this process owns the shard. */
+  public confirmOwnership (sentAtMs: MonotonicMs): void {
     this._leases.noteConfirmed(sentAtMs)
   }
 
@@ -145,23 +146,23 @@
     if (this.forget(live)) this._events.onEnded(this._hostId, live.start, outcome)
   }
 
-  /** Drops an attempt of which nothing is to be told here. */
+  /** Removes an attempt without an event; false if it isn't tracked. */
   public forget (live: ILiveAttempt): boolean {
     if (!this.has(live)) return false
-    this._live.delete(live.hostTask)
-    this._leases.forget(live.hostTask)
+    this._live.delete(live.hostTaskId)
+    this._leases.forget(live.hostTaskId)
     return true
   }
 
-  private _noteTask (task: ITaskStatus): void {
+  private _applyTaskStatus (task: ITaskStatus): void {
     const live = this._live.get(task.taskId)
     if (live === undefined || live.start.attempt !== task.attempt) return
     if (task.state !== 'running') {
       this.end(live, task.state)
       return
     }
-    if (live.confirmedAt === undefined) {
-      live.confirmedAt = ++this._confirmations
+    if (live.confirmationNumber === undefined) {
+      live.confirmationNumber = ++this._confirmationCount
       this._events.onRunning(this._hostId, live.start)
     }
     this._events.onUsage(this._hostId, live.start, task.usage)
--- a/src/scheduler/jobs/Reservations.test.ts
+++ b/src/scheduler/jobs/Reservations.test.ts
@@ -1,5 +1,5 @@
 /**
- * Places held for all-at-once jobs, through a change of the job's owner.
+ * Reservations for all-at-once jobs when the job's owner changes.
  */
 
 import test from 'ava'
@@ -18,7 +18,7 @@
 }
 const REF = { jobId: 'job', tryNumber: 1_000_001 }
 
-async function reserved (): Promise<JobsCell> {
+async function reservedCell (): Promise<JobsCell> {
   const cell = new JobsCell(2, 1)
   await cell.advance(1200)
   const reply = cell.scheduler(1).tasks.reservations.reserve({ ...REF, tasks: [TASK], expiresMs: 5000 })
@@ -26,19 +26,19 @@
   return cell
 }
 
-test('an owner of a job that was replaced between reserving and starting starts nothing', async (t) => {
-  // It sleeps right after it has reserved all places. Its successor asks everybody what runs, is told of nothing, and
-  // starts the job; then the first one wakes, and its starts arrive before the reservations have run out. One would see
-  // each task on two hosts.
-  const cell = await reserved()
+test('an owner of a job that was replaced between its reservation and its start starts nothing', async (t) => {
+  // The owner is paused right after it has reserved all places. Its successor asks all schedulers for running tasks, finds
+  // none and starts the job. Then the first owner resumes, and its starts arrive before the reservations have expired. Each
+  // task would run on two hosts.
+  const cell = await reservedCell()
   cell.scheduler(1).tasks.tasksOf({ idShard: ID_SHARD, ownerEpoch: 2, jobOwner: 's0' })
   t.deepEqual(cell.scheduler(1).tasks.reservations.start(REF), { started: false })
   await cell.advance(1000)
   t.is(cell.workers.runs().length, 0)
 })
 
-test('the owner that reserved starts what it holds, once', async (t) => {
-  const cell = await reserved()
+test('the owner that made a reservation starts its tasks, once', async (t) => {
+  const cell = await reservedCell()
   t.deepEqual(cell.scheduler(1).tasks.reservations.start(REF), { started: true })
   t.deepEqual(cell.scheduler(1).tasks.reservations.start(REF), { started: false })
   await cell.advance(100)
--- a/src/scheduler/jobs/TaskRun.ts
+++ b/src/scheduler/jobs/TaskRun.ts
@@ -1,5 +1,5 @@
 /**
- * One task of an accepted job, as the job's owner sees it. Its states are those of `charts/task.json`.
+ * One task of an accepted job, as its job's owner sees it. The states are those of `charts/task.json`.
  */
 
 import type { ITaskPlace, ITaskSpec } from '../../common/protocol/Types.js'
@@ -12,32 +12,32 @@
   | 'RESERVE' | 'START' | 'GIVE_BACK' | 'CANCEL' | 'HOST_RUNS' | 'HOST_REFUSED' | 'HOST_LOST' | 'HOST_ENDED' | 'LEASE_LAPSED'
   | 'SUCCEEDED' | 'FAILED'
 
-/** The first pause after a failure, doubled by each further one. */
+/** The first pause after a failure; it doubles with each further failure. */
 const FIRST_PAUSE_MS = 100
 const MAX_PAUSE_MS = 30_000
-/** A task that ran this long before it ended begins anew with the first pause. */
+/** After a task ran this long before it ended, its pauses start again with the first one. */
 const STEADY_RUN_MS = 60_000
-/** Hosts to avoid are remembered up to this many; a task that fails on more is at fault itself. */
-const MAX_AVOIDED = 8
+/** Most hosts to avoid per task; a task that fails on more hosts is probably at fault itself. */
+const MAX_AVOIDED_HOSTS = 8
 
 export class TaskRun {
   private _state: TaskState
   private _attempt = 0
-  private _pauses = 0
-  private _sinceMs: MonotonicMs = 0
+  private _pauseCount = 0
+  private _stateSinceMs: MonotonicMs = 0
   public failures = 0
-  /** Not to be placed before. */
+  /** The task isn't placed before this time. */
   public notBeforeMs: MonotonicMs = 0
-  /** The scheduler that was asked to place it. */
+  /** The scheduler that was asked to place the task. */
   public scheduler: string | undefined
   public hostId: string | undefined
   public shardId: string | undefined
-  /** Its attempt is to be stopped; asked again until its end is told. */
+  /** The current attempt is to be stopped; the stop is requested until the attempt's end is reported. */
   public isStopWanted = false
-  public stopAskedAtMs: MonotonicMs = -Infinity
-  /** Its whereabouts have to be found out: its scheduler or its host may have it no longer. */
+  public stopRequestedAtMs: MonotonicMs = -Infinity
+  /** The task must be located, because its scheduler or its host may no longer hold it. */
   public isMissing = false
-  private readonly _avoid: string[] = []
+  private readonly _avoidHostIds: string[] = []
 
   public constructor (public readonly spec: ITaskSpec, private readonly _chart: ChartTable, private _nextAttempt: number) {
     this._state = _chart.initial as TaskState
@@ -47,7 +47,7 @@
     return this._state
   }
 
-  /** 0: an earlier owner of the job may have started it; which attempts, isn't known. */
+  /** The current attempt. 0: an earlier owner of the job may have started attempts, whose numbers aren't known. */
   public get attempt (): number {
     return this._attempt
   }
@@ -56,61 +56,61 @@
     return this._chart.isFinal(this._state)
   }
 
-  /** Since when it has been in its state. */
-  public get sinceMs (): MonotonicMs {
-    return this._sinceMs
+  /** The time at which the task entered its state. */
+  public get stateSinceMs (): MonotonicMs {
+    return this._stateSinceMs
   }
 
   public get avoidHostIds (): readonly string[] {
-    return this._avoid
+    return this._avoidHostIds
   }
 
-  /** An earlier owner may have started it. */
+  /** Marks a task that an earlier owner may have started. */
   public markRecovered (nowMs: MonotonicMs): void {
-    this.step('START', nowMs)
-    this.lose(nowMs)
+    this.applyEvent('START', nowMs)
+    this.markLost(nowMs)
   }
 
-  /** Its scheduler may have it or not. */
-  public lose (nowMs: MonotonicMs): void {
-    this.step('HOST_LOST', nowMs)
+  /** Marks a task of which it is unknown whether its scheduler still holds it. */
+  public markLost (nowMs: MonotonicMs): void {
+    this.applyEvent('HOST_LOST', nowMs)
     this.isMissing = this._state === 'unsure' || this._state === 'stopping'
   }
 
-  /** Begins the next attempt, at this scheduler, or at one that a reservation is still looking for. */
-  public begin (scheduler: string | undefined, nowMs: MonotonicMs): void {
+  /** Begins the next attempt at this scheduler; undefined if a reservation still has to find one. */
+  public beginAttempt (scheduler: string | undefined, nowMs: MonotonicMs): void {
     this._attempt = this._nextAttempt
     this._nextAttempt += 1
     this.scheduler = scheduler
-    this.step('START', nowMs)
+    this.applyEvent('START', nowMs)
   }
 
-  /** Takes over the number of an attempt that an earlier owner began. */
-  public adopt (attempt: number): void {
+  /** Adopts the number of an attempt that an earlier owner began. */
+  public adoptAttempt (attempt: number): void {
     this._attempt = attempt
     this._nextAttempt = Math.max(this._nextAttempt, attempt + 1)
   }
 
-  public step (event: TaskEvent, nowMs: MonotonicMs): void {
+  public applyEvent (event: TaskEvent, nowMs: MonotonicMs): void {
     const before = this._state
     this._state = this._chart.next(before, event) as TaskState
     if (this._state === before) return
-    this._sinceMs = nowMs
+    this._stateSinceMs = nowMs
     if (this._state === 'queued' || this.isFinal) this._clearPlace()
   }
 
-  /** Puts the next attempt off, longer after each end without a success, and at random so that many don't come at once. */
-  public pause (nowMs: MonotonicMs, ranMs: number, random: IRandom): void {
-    if (ranMs > STEADY_RUN_MS) this._pauses = 0
-    const pauseMs = Math.min(FIRST_PAUSE_MS * 2 ** this._pauses, MAX_PAUSE_MS)
-    this._pauses += 1
+  /** Postpones the next attempt, longer after each end without success, with jitter so that many tasks don't return at once. */
+  public postpone (nowMs: MonotonicMs, ranMs: number, random: IRandom): void {
+    if (ranMs > STEADY_RUN_MS) this._pauseCount = 0
+    const pauseMs = Math.min(FIRST_PAUSE_MS * 2 ** this._pauseCount, MAX_PAUSE_MS)
+    this._pauseCount += 1
     this.notBeforeMs = nowMs + pauseMs * (0.5 + 0.5 * random.next())
   }
 
-  public avoid (hostId: string | undefined): void {
-    if (hostId === undefined || this._avoid.includes(hostId)) return
-    this._avoid.push(hostId)
-    if (this._avoid.length > MAX_AVOIDED) this._avoid.shift()
+  public avoidHost (hostId: string | undefined): void {
+    if (hostId === undefined || this._avoidHostIds.includes(hostId)) return
+    this._avoidHostIds.push(hostId)
+    if (this._avoidHostIds.length > MAX_AVOIDED_HOSTS) this._avoidHostIds.shift()
   }
 
   public toPlace (): ITaskPlace {
@@ -119,7 +119,7 @@
     return {
       taskId,
       attempt: this._attempt,
-      state: TOLD_STATE[this._state],
+      state: REPORTED_STATE[this._state],
       ...(hostId === undefined ? {} : { hostId }),
       ...(shardId === undefined ? {} : { shardId })
     }
@@ -128,7 +128,7 @@
   private _clearPlace (): void {
     this.isMissing = false
     this.isStopWanted = false
-    this.stopAskedAtMs = -Infinity
+    this.stopRequestedAtMs = -Infinity
     if (this.isFinal) return
     this.scheduler = undefined
     this.hostId = undefined
@@ -136,7 +136,7 @@
   }
 }
 
-const TOLD_STATE: Readonly<Record<TaskState, ITaskPlace['state']>> = {
+const REPORTED_STATE: Readonly<Record<TaskState, ITaskPlace['state']>> = {
   queued: 'queued',
   reserved: 'reserved',
   starting: 'queued',
--- a/src/scheduler/jobs/TaskRunner.ts
+++ b/src/scheduler/jobs/TaskRunner.ts
@@ -1,5 +1,6 @@
 /**
- * Carries out what the decision engine decides about tasks, and tells each job's present owner what becomes of them.
+ * Carries out the decision engine's decisions about tasks, and reports changes of the tasks to the current owners of their
+ * jobs.
  */
 
 import { adoptedItem } from '../requests/AdoptedItem.js'
@@ -20,7 +21,7 @@
 
 export class TaskRunner implements IWorkerPoolEvents, IDisposable {
   private _pool: WorkerPool | undefined
-  private _wake: IDisposable | undefined
+  private _wakeTimer: IDisposable | undefined
 
   public constructor (
     private readonly _context: ITaskServiceContext,
@@ -28,21 +29,21 @@
     private readonly _epochs: OwnerEpochs
   ) {}
 
-  /** The pool tells the runner of attempts, and the runner has it start and stop them. */
+  /** Sets the pool that starts and stops attempts; the pool reports the attempts' events to this runner. */
   public setPool (pool: WorkerPool): void {
     this._pool = pool
   }
 
   public dispose (): void {
-    this._wake?.dispose()
+    this._wakeTimer?.dispose()
   }
 
-  /** Owned shards of whose hosts each has told what it runs, or is gone. */
+  /** The owned shards whose hosts have all listed their attempts or are gone. */
   public settledShards (): readonly string[] {
     return this._pool?.settledShards() ?? []
   }
 
-  /** Carries out what the engine decides, until it has nothing more to decide now. */
+  /** Carries out the engine's decisions until it has none left for now. */
   public pump (): void {
     for (let decision = this._context.engine.next(); decision !== undefined; decision = this._context.engine.next()) {
       this._carryOut(decision)
@@ -51,20 +52,20 @@
   }
 
   /**
-   * Sends a placed task to its host, if the owner of its job is still in touch.
+   * Sends a placed task to its host if there was recent contact with the owner of its job.
    *
-   * What goes wrong otherwise: this process is cut off or paused with the task in its queue, its shards go to others,
-   * who tell that they don't have the task, and it is started elsewhere. When this process owns hosts again, it would
-   * start its copy too; one would see the task on two hosts. An owner gives a task up only after the leases of the
-   * process that had it have lapsed, which takes longer than `heardLately` looks back.
+   * This process may have been cut off or paused with the task in its queue. Its shards then go to other schedulers, which
+   * report that they don't hold the task, and the task is started elsewhere. If this process later owned hosts again and
+   * started its copy, the task would run on two hosts. A job's owner gives up a task only after the leases of the process
+   * that held it have lapsed, which takes longer than the period that `hasRecentContact` checks.
    */
   public startPlaced (item: IWorkItem, hostId: string): void {
-    const task = this._held.byItem(item.id)
+    const task = this._held.findByItem(item.id)
     const session = this._pool?.session(hostId)
-    const isWanted = task !== undefined && this._context.peers.heardLately(this._ownerOf(task))
-    if (task === undefined || session === undefined || !isWanted) {
+    const hasOwnerContact = task !== undefined && this._context.peers.heardLately(this._jobOwnerOf(task))
+    if (task === undefined || session === undefined || !hasOwnerContact) {
       this._context.engine.finished(item.id, session === undefined ? 'refused' : 'stopped', 0)
-      if (task !== undefined) this.end(task, 'stopped')
+      if (task !== undefined) this.endTask(task, 'stopped')
       return
     }
     Object.assign(task, { phase: 'starting', hostId, shardId: session.fence.shardId, startedAtMs: this._context.clock.nowMs() })
@@ -77,36 +78,45 @@
     this._context.engine.adopt(item, hostId)
     const { jobId, taskId, attempt } = start
     const task: IHeldTask = {
-      jobId, taskId, attempt, itemId, item, placedBy: '', phase: 'running', hostId, shardId: this._pool?.shardOf(hostId), startedAtMs: item.arrivedAtMs
+      jobId,
+      taskId,
+      attempt,
+      itemId,
+      item,
+      placedBy: '',
+      phase: 'running',
+      hostId,
+      shardId: this._pool?.shardOf(hostId),
+      startedAtMs: item.arrivedAtMs
     }
     this._held.add(task)
-    this.tell(jobId, placeOf(task))
+    this.reportPlace(jobId, placeOf(task))
   }
 
   public onRunning (_hostId: string, attempt: IAttempt): void {
-    const task = this._held.byItem(itemIdOf(attempt))
+    const task = this._held.findByItem(itemIdOf(attempt))
     if (task === undefined) return
     task.phase = 'running'
-    this.tell(task.jobId, placeOf(task))
+    this.reportPlace(task.jobId, placeOf(task))
   }
 
   public onEnded (hostId: string, attempt: IAttempt, outcome: AttemptOutcome): void {
-    const task = this._held.byItem(itemIdOf(attempt))
+    const task = this._held.findByItem(itemIdOf(attempt))
     const state = outcome === 'succeeded' || outcome === 'failed' ? outcome : 'stopped'
     if (task === undefined) {
-      this._held.noteEnded(attempt.jobId, { taskId: attempt.taskId, attempt: attempt.attempt, state, hostId })
+      this._held.recordEnd(attempt.jobId, { taskId: attempt.taskId, attempt: attempt.attempt, state, hostId })
       return
     }
     this._context.engine.finished(task.itemId, ENGINE_END[outcome], this._context.clock.nowMs() - task.startedAtMs)
-    this.end(task, state)
+    this.endTask(task, state)
     this.pump()
   }
 
   public onNotStarted (_hostId: string, attempt: IAttempt): void {
-    const task = this._held.byItem(itemIdOf(attempt))
+    const task = this._held.findByItem(itemIdOf(attempt))
     if (task === undefined) return
     this._context.engine.finished(task.itemId, 'refused', 0)
-    this.end(task, 'stopped')
+    this.endTask(task, 'stopped')
     this.pump()
   }
 
@@ -118,7 +128,7 @@
     for (const task of [...this._held.values()]) {
       if (task.hostId !== hostId) continue
       this._held.remove(task)
-      this.tell(task.jobId, { ...placeOf(task), state: 'unsure' })
+      this.reportPlace(task.jobId, { ...placeOf(task), state: 'unsure' })
     }
   }
 
@@ -129,42 +139,42 @@
   private _carryOut (decision: EngineDecision): void {
     if (decision.type === 'place') this.startPlaced(decision.item, decision.hostId)
     if (decision.type === 'preempt') {
-      const task = this._held.byItem(decision.itemId)
-      if (task !== undefined) this.stop(task)
+      const task = this._held.findByItem(decision.itemId)
+      if (task !== undefined) this.stopTask(task)
     }
     if (decision.type === 'giveUp') {
-      const task = this._held.byItem(decision.item.id)
-      if (task !== undefined) this.end(task, 'stopped')
+      const task = this._held.findByItem(decision.item.id)
+      if (task !== undefined) this.endTask(task, 'stopped')
     }
   }
 
-  /** Stops an attempt that has been sent to its host. */
-  public stop (task: IHeldTask): void {
+  /** Stops an attempt that has been sent to a host. */
+  public stopTask (task: IHeldTask): void {
     if (task.hostId !== undefined) this._pool?.session(task.hostId)?.stop(task)
   }
 
-  /** An attempt is over here: its owner is told, now and when it asks. */
-  public end (task: IHeldTask, state: ITaskPlace['state']): void {
+  /** Removes an attempt that has ended here, and reports the end to its job's owner now and on later requests. */
+  public endTask (task: IHeldTask, state: ITaskPlace['state']): void {
     this._held.remove(task)
     const place = { ...placeOf(task), state }
-    this._held.noteEnded(task.jobId, place)
-    this.tell(task.jobId, place)
+    this._held.recordEnd(task.jobId, place)
+    this.reportPlace(task.jobId, place)
   }
 
-  /** Tells the present owner of a job about one of its tasks. */
-  public tell (jobId: string, place: ITaskPlace): void {
+  /** Reports the place and state of a task to the current owner of its job. */
+  public reportPlace (jobId: string, place: ITaskPlace): void {
     const owner = this._epochs.ownerOf(this._context.idShardOf(jobId))
     if (owner !== undefined) this._context.peers.cast(owner, 'taskUpdate', { jobId, place })
   }
 
-  private _ownerOf (task: IHeldTask): string {
+  private _jobOwnerOf (task: IHeldTask): string {
     return this._epochs.ownerOf(this._context.idShardOf(task.jobId)) ?? task.placedBy
   }
 
   private _scheduleWake (): void {
-    this._wake?.dispose()
+    this._wakeTimer?.dispose()
     const delayMs = this._context.engine.nextWakeAtMs() - this._context.clock.nowMs()
-    this._wake = Number.isFinite(delayMs) ? this._context.timers.after(Math.max(0, delayMs), () => { this.pump() }) : undefined
+    this._wakeTimer = Number.isFinite(delayMs) ? this._context.timers.after(Math.max(0, delayMs), () => { this.pump() }) : undefined
   }
 }
 
--- a/src/scheduler/jobs/TaskSender.ts
+++ b/src/scheduler/jobs/TaskSender.ts
@@ -1,6 +1,6 @@
 /**
- * Sends the tasks of jobs to schedulers, and stops them there. What a scheduler answers, or that it doesn't, goes back
- * into the job.
+ * Sends the tasks of jobs to schedulers and stops them there. The schedulers' answers, and missing answers, are applied to
+ * the job.
  */
 
 import { AmbiguousError } from '../../common/Errors.js'
@@ -15,11 +15,11 @@
 
 const CALL_TIMEOUT_MS = 2000
 const REFUSED_RETRY_MS = 500
-const NOBODY_RETRY_MS = 500
-/** A task that has been queued this long may move to a scheduler with room. */
-const SHIFT_AFTER_MS = 2000
-/** Tasks of one job that move at one time: the summaries that speak for a move are a second old. */
-const MAX_SHIFTS = 16
+const NO_SCHEDULER_RETRY_MS = 500
+/** A task that has been queued for this time may move to a scheduler with room. */
+const MOVE_AFTER_MS = 2000
+/** Most tasks of one job that are moved at a time, because the load summaries behind a move may be a second old. */
+const MAX_MOVES = 16
 
 export class TaskSender {
   private readonly _reserver: GroupReserver
@@ -28,125 +28,125 @@
     this._reserver = new GroupReserver(_context)
   }
 
-  /** Places what is ready; `onChange` is called when an answer has changed something. */
-  public send (run: JobRun, onChange: () => void): void {
+  /** Sends the tasks that can be placed now; `onChange` is called after an answer that changed the job. */
+  public sendTasks (run: JobRun, onChange: () => void): void {
     const nowMs = this._context.clock.nowMs()
-    const ready = run.ready(nowMs)
+    const ready = run.tasksToPlace(nowMs)
     if (ready.length === 0) return
     if (run.isAllAtOnce) this._sendGroup(run, ready, onChange)
-    else for (const task of ready) this._sendOne(run, task, onChange)
+    else for (const task of ready) this._sendTask(run, task, onChange)
   }
 
-  /** Stops what is to be stopped, at the scheduler that has it. */
-  public stop (run: JobRun): void {
-    for (const task of run.toStop(this._context.clock.nowMs())) {
+  /** Requests the stop of all tasks that are to be stopped, at the schedulers that hold them. */
+  public stopTasks (run: JobRun): void {
+    for (const task of run.tasksToStop(this._context.clock.nowMs())) {
       if (task.scheduler === undefined || task.isMissing) continue
       this._stopAt(run, task, task.scheduler)
     }
   }
 
-  /** An attempt that none of our jobs has; an earlier owner began it, or its job has ended. */
-  public stopStray (jobId: string, place: ITaskPlace, at: string): void {
+  /** Stops an attempt that belongs to no live job of this process: an earlier owner began it, or its job has ended. */
+  public stopStray (jobId: string, place: ITaskPlace, scheduler: string): void {
     const { taskId, attempt } = place
-    this._context.log.info('job.strayAttempt', { peer: at, step: 'job.stopStray', jobId, taskId, attempt })
-    this._context.peers.call(at, 'cancelTask', { jobId, taskId, attempt }, CALL_TIMEOUT_MS)
+    this._context.log.info('job.strayAttempt', { peer: scheduler, step: 'job.stopStray', jobId, taskId, attempt })
+    this._context.peers.call(scheduler, 'cancelTask', { jobId, taskId, attempt }, CALL_TIMEOUT_MS)
   }
 
   /**
-   * Moves tasks that wait while another scheduler has room.
+   * Takes waiting tasks out of the queue of their scheduler while another scheduler has room, so that they are sent again.
    *
-   * Made for skewed demand: one scheduler got a burst and its hosts are full, while others have come free since. One
-   * would see tasks wait beside idle hosts. A task moves only after it has waited a while, and only to one with room
-   * while its own has none, so that tasks don't swing to and fro.
+   * When one scheduler gets a burst, its hosts are full while hosts of other schedulers may become free, and its tasks would
+   * wait although there are idle hosts. A task moves only after it has waited for some time, and only if another scheduler
+   * has room and its own has none, so that tasks don't move back and forth.
    */
-  public shift (run: JobRun): void {
+  public moveWaiting (run: JobRun): void {
     if (run.isAllAtOnce || run.end !== undefined) return
     const nowMs = this._context.clock.nowMs()
-    let shifts = 0
+    let moves = 0
     for (const task of run.tasks) {
-      if (shifts >= MAX_SHIFTS) return
-      const waits = task.state === 'starting' && nowMs - task.sinceMs >= SHIFT_AFTER_MS
-      if (!waits || task.scheduler === undefined || !this._choice.hasRoomElsewhere(task.spec.resources, task.scheduler)) continue
-      shifts += 1
+      if (moves >= MAX_MOVES) return
+      const isWaiting = task.state === 'starting' && nowMs - task.stateSinceMs >= MOVE_AFTER_MS
+      if (!isWaiting || task.scheduler === undefined || !this._choice.hasRoomElsewhere(task.spec.resources, task.scheduler)) continue
+      moves += 1
       const { jobId } = run.job
-      const ask = { jobId, taskId: task.spec.taskId, attempt: task.attempt, onlyIfQueued: true }
-      this._context.peers.call(task.scheduler, 'cancelTask', ask, CALL_TIMEOUT_MS)
+      const request = { jobId, taskId: task.spec.taskId, attempt: task.attempt, onlyIfQueued: true }
+      this._context.peers.call(task.scheduler, 'cancelTask', request, CALL_TIMEOUT_MS)
     }
   }
 
-  private async _sendOne (run: JobRun, task: TaskRun, onChange: () => void): Promise<void> {
-    const scheduler = this._choice.forTask(task.spec.resources)
+  private async _sendTask (run: JobRun, task: TaskRun, onChange: () => void): Promise<void> {
+    const scheduler = this._choice.chooseForTask(task.spec.resources)
     if (scheduler === undefined) {
       this._postpone([task])
       return
     }
-    task.begin(scheduler, this._context.clock.nowMs())
+    task.beginAttempt(scheduler, this._context.clock.nowMs())
     const { attempt } = task
-    const reply = await this._context.peers.call(scheduler, 'placeTask', this._toAsk(run, task), CALL_TIMEOUT_MS)
+    const reply = await this._context.peers.call(scheduler, 'placeTask', this._toRequest(run, task), CALL_TIMEOUT_MS)
     if (task.attempt !== attempt || task.state !== 'starting') return
-    reply.match((placed) => { this._placed(run, [task], placed) }, (error) => { this._unanswered(run, [task], error) })
+    reply.match((placed) => { this._handleReply(run, [task], placed) }, (error) => { this._handleError(run, [task], error) })
     if (reply.isErr() || !reply.value.accepted) onChange()
   }
 
   private async _sendGroup (run: JobRun, tasks: readonly TaskRun[], onChange: () => void): Promise<void> {
-    const scheduler = this._choice.forGroup(tasks.map((task) => task.spec.resources))
+    const scheduler = this._choice.chooseForGroup(tasks.map((task) => task.spec.resources))
     if (scheduler === undefined) {
       await this._reserveGroup(run, tasks)
       onChange()
       return
     }
     const nowMs = this._context.clock.nowMs()
-    for (const task of tasks) task.begin(scheduler, nowMs)
+    for (const task of tasks) task.beginAttempt(scheduler, nowMs)
     const attempts = new Map(tasks.map((task) => [task, task.attempt]))
-    const ask = { jobId: run.job.jobId, tasks: tasks.map((task) => this._toAsk(run, task)) }
-    const reply = await this._context.peers.call(scheduler, 'placeGroup', ask, CALL_TIMEOUT_MS)
-    const still = tasks.filter((task) => task.attempt === attempts.get(task) && task.state === 'starting')
-    reply.match((placed) => { this._placed(run, still, placed) }, (error) => { this._unanswered(run, still, error) })
+    const request = { jobId: run.job.jobId, tasks: tasks.map((task) => this._toRequest(run, task)) }
+    const reply = await this._context.peers.call(scheduler, 'placeGroup', request, CALL_TIMEOUT_MS)
+    const unstarted = tasks.filter((task) => task.attempt === attempts.get(task) && task.state === 'starting')
+    reply.match((placed) => { this._handleReply(run, unstarted, placed) }, (error) => { this._handleError(run, unstarted, error) })
     if (reply.isErr() || !reply.value.accepted) onChange()
   }
 
   private async _reserveGroup (run: JobRun, tasks: readonly TaskRun[]): Promise<void> {
-    const schedulers = this._choice.withWorkers()
+    const schedulers = this._choice.schedulersWithWorkers()
     if (schedulers.length === 0) {
       this._postpone(tasks)
       return
     }
     const nowMs = this._context.clock.nowMs()
-    for (const task of tasks) task.begin(undefined, nowMs)
-    await this._reserver.place(run, tasks, tasks.map((task) => this._toAsk(run, task)), schedulers)
+    for (const task of tasks) task.beginAttempt(undefined, nowMs)
+    await this._reserver.place(run, tasks, tasks.map((task) => this._toRequest(run, task)), schedulers)
   }
 
-  private _placed (run: JobRun, tasks: readonly TaskRun[], reply: IPlaceReply): void {
+  private _handleReply (run: JobRun, tasks: readonly TaskRun[], reply: IPlaceReply): void {
     if (reply.accepted) return
     const nowMs = this._context.clock.nowMs()
     this._context.log.debug('job.placeRefused', { step: 'job.place', jobId: run.job.jobId, reason: reply.reason })
-    for (const task of tasks) run.refused(task, nowMs, reply.retryAfterMs ?? REFUSED_RETRY_MS)
+    for (const task of tasks) run.markRefused(task, nowMs, reply.retryAfterMs ?? REFUSED_RETRY_MS)
   }
 
-  /** Without an answer it may be queued there or run. Only what was never sent is free to go elsewhere. */
-  private _unanswered (run: JobRun, tasks: readonly TaskRun[], error: PeerError): void {
+  /** Handles a call without an answer: the tasks may be queued or run there. They may go elsewhere only if they were never sent. */
+  private _handleError (run: JobRun, tasks: readonly TaskRun[], error: PeerError): void {
     const nowMs = this._context.clock.nowMs()
     for (const task of tasks) {
-      if (error instanceof AmbiguousError) run.lost(task, nowMs)
-      else run.refused(task, nowMs, REFUSED_RETRY_MS)
+      if (error instanceof AmbiguousError) run.markLost(task, nowMs)
+      else run.markRefused(task, nowMs, REFUSED_RETRY_MS)
     }
   }
 
   private async _stopAt (run: JobRun, task: TaskRun, scheduler: string): Promise<void> {
     const { attempt } = task
-    const ask = { jobId: run.job.jobId, taskId: task.spec.taskId, attempt }
-    const reply = await this._context.peers.call(scheduler, 'cancelTask', ask, CALL_TIMEOUT_MS)
-    // It isn't there, and we haven't heard its end: find out where it is.
+    const request = { jobId: run.job.jobId, taskId: task.spec.taskId, attempt }
+    const reply = await this._context.peers.call(scheduler, 'cancelTask', request, CALL_TIMEOUT_MS)
+    // The scheduler doesn't hold the task, and its end hasn't been reported: the task must be located.
     const isUnknown = reply.isOk() && !reply.value.known
-    if (isUnknown && task.attempt === attempt && task.scheduler === scheduler && !task.isFinal) run.lost(task, this._context.clock.nowMs())
+    if (isUnknown && task.attempt === attempt && task.scheduler === scheduler && !task.isFinal) run.markLost(task, this._context.clock.nowMs())
   }
 
   private _postpone (tasks: readonly TaskRun[]): void {
-    const notBeforeMs = this._context.clock.nowMs() + NOBODY_RETRY_MS
+    const notBeforeMs = this._context.clock.nowMs() + NO_SCHEDULER_RETRY_MS
     for (const task of tasks) task.notBeforeMs = notBeforeMs
   }
 
-  private _toAsk (run: JobRun, task: TaskRun): IPlaceTask {
+  private _toRequest (run: JobRun, task: TaskRun): IPlaceTask {
     const { jobId, service, caller } = run.job
     return {
       jobId,
--- a/src/scheduler/jobs/TaskSurvey.test.ts
+++ b/src/scheduler/jobs/TaskSurvey.test.ts
@@ -1,5 +1,5 @@
 /**
- * When a task that nobody lists counts as absent, so that it is started anew.
+ * When a task that no scheduler lists counts as absent, so that it is started again.
  */
 
 import { errAsync, okAsync } from 'neverthrow'
@@ -17,11 +17,11 @@
 import type { IJobPeers } from './Types.js'
 
 const SHARD = 'workers/r0'
-const NOTHING = { cores: 0, memoryBytes: 0, accelerators: 0 }
+const NO_RESOURCES = { cores: 0, memoryBytes: 0, accelerators: 0 }
 const PLACE = { region: 'lakes-west', failureDomain: 'lakes-west-a' }
 
 function summary (processId: string, epoch: number): ILoadSummary {
-  const shard = { shardId: SHARD, kind: 'workers' as const, epoch, freeSlots: 0, totalSlots: 0, free: NOTHING, largestFree: NOTHING }
+  const shard = { shardId: SHARD, kind: 'workers' as const, epoch, freeSlots: 0, totalSlots: 0, free: NO_RESOURCES, largestFree: NO_RESOURCES }
   const expectedWaitMs = { urgent: 0, normal: 0, patient: 0 }
   return { ...PLACE, processId, incarnation: 1, draining: false, storeReachable: true, shards: [shard], expectedWaitMs, queued: 0 }
 }
@@ -33,8 +33,8 @@
   return run
 }
 
-/** The replies by scheduler; one that isn't named falls silent. */
-function setUp (run: JobRun, replies: Readonly<Record<string, ITasksOfReply>>): TaskSurvey {
+/** A survey with the given replies by scheduler; schedulers without a reply don't answer. */
+function createSurvey (run: JobRun, replies: Readonly<Record<string, ITasksOfReply>>): TaskSurvey {
   const call = (processId: string): unknown => {
     const reply = replies[processId]
     return reply === undefined ? errAsync(new AmbiguousError('peer.call', processId, 'timeout')) : okAsync(reply)
@@ -53,17 +53,17 @@
 const SETTLED: ITasksOfReply = { settledShards: [SHARD], tasks: [] }
 const UNSETTLED: ITasksOfReply = { settledShards: [], tasks: [] }
 
-test('the word of a scheduler that has lost the shard of the hosts doesn\'t count', async (t) => {
-  // A scheduler sleeps through the takeover of its workers, wakes, and tells before it has heard of the takeover that all
-  // its hosts are settled. The new owner of the workers, which started the task, can't be reached just now. If the task
-  // counted as absent, it would be started elsewhere, and one would see it on two hosts.
+test('the report of a scheduler that has lost the shard of the hosts does not count', async (t) => {
+  // A scheduler is paused during the takeover of its workers, resumes, and reports all its hosts as settled before it
+  // learns of the takeover. The new owner of the workers, which started the task, can't be reached at this time. If the
+  // task counted as absent, it would be started elsewhere and run on two hosts.
   const run = recoveredRun()
-  await setUp(run, { owner: UNSETTLED, old: SETTLED }).tick()
+  await createSurvey(run, { owner: UNSETTLED, old: SETTLED }).runIfDue()
   t.is(run.task('t0')?.state, 'unsure')
 })
 
-test('a task that the owners of all hosts don\'t have is absent', async (t) => {
+test('a task that no owner of a host holds is absent', async (t) => {
   const run = recoveredRun()
-  await setUp(run, { owner: UNSETTLED, old: SETTLED, new: SETTLED }).tick()
+  await createSurvey(run, { owner: UNSETTLED, old: SETTLED, new: SETTLED }).runIfDue()
   t.is(run.task('t0')?.state, 'queued')
 })
--- a/src/scheduler/jobs/Types.ts
+++ b/src/scheduler/jobs/Types.ts
@@ -1,5 +1,5 @@
 /**
- * What the parts of the jobs' side need of each other and of the rest of the scheduler, each passed in.
+ * Types that the classes for jobs and tasks share, and the dependencies that are passed to them.
  */
 
 import type { ResultAsync } from 'neverthrow'
@@ -30,21 +30,21 @@
   readonly runMs?: number | undefined
 }
 
-/** How an attempt ended: by its host's word, or `lost`: its lease has lapsed, or its host is gone or has forgotten it. */
+/** How an attempt ended: as its host reported, or `lost` if its lease has lapsed, or its host is gone or no longer knows it. */
 export type AttemptOutcome = TaskEnd | 'lost'
 
-/** What a worker session tells of its host. */
+/** The events of a worker session about its host. */
 export interface IWorkerEvents {
-  /** The host accepts our epoch, and runs these attempts, which an earlier owner started. */
+  /** The host accepts this process's epoch and runs these attempts, which an earlier owner started. */
   onAdopted (hostId: string, running: ReadonlyArray<IAttemptStart>): void
   onRunning (hostId: string, attempt: IAttempt): void
   onEnded (hostId: string, attempt: IAttempt, outcome: AttemptOutcome): void
-  /** For certain it never ran and never will. */
+  /** The attempt certainly never ran and never will. */
   onNotStarted (hostId: string, attempt: IAttempt): void
   onUsage (hostId: string, attempt: IAttempt, usage: IResources): void
-  /** Its capacity, or whether it takes new work, has changed. */
+  /** The host's capacity has changed, or whether it accepts new work. */
   onHostChanged (hostId: string): void
-  /** A newer epoch holds the host. */
+  /** The host has accepted a newer epoch. */
   onFenced (hostId: string, shardId: string, currentEpoch: number): void
 }
 
@@ -58,7 +58,7 @@
   readonly log: ILogger
 }
 
-/** The log of the id shards that this process owns; `ClaimService` is one. */
+/** The job log of the id shards that this process owns; implemented by `ClaimService`. */
 export interface IJobLog {
   owns (idShard: string): boolean
   acceptJob (idShard: string, job: IJobSpec): Promise<'durable' | 'dropped' | 'inDoubt' | 'lost' | 'tooLarge'>
@@ -66,20 +66,20 @@
   job (idShard: string, jobId: string): IJobRecord | undefined
 }
 
-/** Calls and casts to schedulers by process id, this one included. */
+/** Calls and casts to schedulers by process id, including this process. */
 export interface IJobPeers {
   readonly self: IProcessIdentity
-  /** This process and all that it has a link to. */
+  /** This process and all processes that it has a link to. */
   processIds (): readonly string[]
-  /** Whether the process has been heard of so lately that it can't have been replaced; always true of this one. */
+  /** Whether the last message of the process is so recent that it can't have been replaced; always true for this process. */
   heardLately (processId: string): boolean
-  call<N extends PeerCallName> (processId: string, name: N, ask: IPeerCalls[N]['ask'], timeoutMs: number):
+  call<N extends PeerCallName> (processId: string, name: N, request: IPeerCalls[N]['ask'], timeoutMs: number):
   ResultAsync<IPeerCalls[N]['reply'], PeerError>
   cast (processId: string, name: 'taskUpdate', cast: IPeerCasts['taskUpdate']): void
   onLost (listener: (peer: IProcessIdentity) => void): IDisposable
 }
 
-/** Who owns which shard, as far as this process has heard; `SchedulerRouter` is one. */
+/** The owners of the shards, as far as this process knows; implemented by `SchedulerRouter`. */
 export interface IShardView {
   ownerOf (shardId: string): string | undefined
   summaries (): readonly ILoadSummary[]
--- a/src/scheduler/jobs/WorkItems.ts
+++ b/src/scheduler/jobs/WorkItems.ts
@@ -1,5 +1,5 @@
 /**
- * Tasks as items of the decision engine.
+ * Converts tasks to items of the decision engine.
  */
 
 import { itemIdOf } from './TaskIds.js'
@@ -9,24 +9,24 @@
 import type { IPlaceTask } from '../../common/protocol/Types.js'
 import type { MonotonicMs } from '../../common/Types.js'
 
-/** The item of a task under its service's profile; nothing while the service is not known here. */
-export function toWorkItem (ask: IPlaceTask, config: IConfigReplica, nowMs: MonotonicMs): IWorkItem | undefined {
-  const service = config.service(ask.service)
+/** The item of a task under its service's profile; undefined while this scheduler doesn't know the service. */
+export function toWorkItem (request: IPlaceTask, config: IConfigReplica, nowMs: MonotonicMs): IWorkItem | undefined {
+  const service = config.service(request.service)
   const found = service === undefined ? undefined : config.profile(service.profile)
   if (service === undefined || found === undefined) return undefined
-  const { taskId, resources, runMs } = ask.task
+  const { taskId, resources, runMs } = request.task
   return {
-    id: itemIdOf({ jobId: ask.jobId, taskId, attempt: ask.attempt }),
-    caller: ask.caller,
-    service: ask.service,
+    id: itemIdOf({ jobId: request.jobId, taskId, attempt: request.attempt }),
+    caller: request.caller,
+    service: request.service,
     team: service.team,
     profile: found.profile,
     resources,
     arrivedAtMs: nowMs,
     deadlineAtMs: Infinity,
-    // The owner of the job counts the attempts and decides about each.
+    // The owner of the job counts the attempts and decides on each retry.
     idempotent: false,
     ...(runMs === undefined ? {} : { declaredRunMs: runMs }),
-    ...(ask.avoidHostIds === undefined ? {} : { avoidHostIds: ask.avoidHostIds })
+    ...(request.avoidHostIds === undefined ? {} : { avoidHostIds: request.avoidHostIds })
   }
 }
--- a/src/scheduler/jobs/WorkerPool.ts
+++ b/src/scheduler/jobs/WorkerPool.ts
@@ -1,6 +1,6 @@
 /**
- * The workers of all owned shards: keeps the decision engine's picture of them true through takeovers, silence,
- * leaving and news of their tasks.
+ * The workers of all owned shards. Keeps the decision engine's view of them correct when shards change owner, workers
+ * become unreachable or leave, and tasks change state.
  */
 
 import { shardOfHost } from '../hosts/Types.js'
@@ -11,14 +11,14 @@
 import type { IOwnedShard } from '../hosts/Types.js'
 import type { AttemptOutcome, IAttempt, IAttemptStart, IWorkerEvents, IWorkerPoolContext } from './Types.js'
 
-/** What the pool tells of attempts; `TaskService` hears it. */
+/** The events of the pool; implemented by `TaskRunner`. */
 export interface IWorkerPoolEvents {
   onAdopted (hostId: string, attempt: IAttemptStart): void
   onRunning (hostId: string, attempt: IAttempt): void
   onEnded (hostId: string, attempt: IAttempt, outcome: AttemptOutcome): void
   onNotStarted (hostId: string, attempt: IAttempt): void
   onUsage (attempt: IAttempt, usage: IResources): void
-  /** The host is not ours any more; what runs there goes on under another owner. */
+  /** This process no longer owns the host; attempts that run there continue under another owner. */
   onHostLost (hostId: string): void
   /** Places may have become free. */
   onCapacity (): void
@@ -34,8 +34,8 @@
   public constructor (private readonly _context: IWorkerPoolContext, private readonly _events: IWorkerPoolEvents) {
     this._registrations = [
       _context.directory.onChange(() => { this._refresh() }),
-      _context.shards.onAcquired((shard) => { this._acquired(shard) }),
-      _context.shards.onLost((shard) => { this._lost(shard.shardId) })
+      _context.shards.onAcquired((shard) => { this._addShard(shard) }),
+      _context.shards.onLost((shard) => { this._removeShard(shard.shardId) })
     ]
   }
 
@@ -45,7 +45,7 @@
     this._sessions.clear()
   }
 
-  /** The session of a host that is ours. */
+  /** The session of a host that this process owns. */
   public session (hostId: string): WorkerSession | undefined {
     return this._sessions.get(hostId)
   }
@@ -54,7 +54,7 @@
     return this._sessions.get(hostId)?.fence.shardId
   }
 
-  /** Owned shards of whose hosts each has told what it runs, or is gone. */
+  /** The owned shards whose hosts have all listed their attempts or are gone. */
   public settledShards (): readonly string[] {
     return [...this._owned.keys()].filter((shardId) => this._isSettled(shardId))
   }
@@ -100,33 +100,33 @@
     this._context.shards.noteFenced(shardId, currentEpoch)
   }
 
-  private _acquired (shard: IOwnedShard): void {
+  private _addShard (shard: IOwnedShard): void {
     if (!shard.shardId.startsWith(WORKERS_PREFIX)) return
-    this._lost(shard.shardId)
+    this._removeShard(shard.shardId)
     this._owned.set(shard.shardId, shard)
     this._refresh()
   }
 
-  private _lost (shardId: string): void {
+  private _removeShard (shardId: string): void {
     this._owned.delete(shardId)
     for (const session of [...this._sessions.values()]) {
-      if (session.fence.shardId === shardId) this._drop(session)
+      if (session.fence.shardId === shardId) this._removeSession(session)
     }
   }
 
-  /** A host that has vanished from the list counts as gone, which is believed only once it doesn't answer either. */
+  /** Updates the sessions from the host list. A host that isn't listed any more counts as gone only if it doesn't answer either. */
   private _refresh (): void {
     const listed = new Set<string>()
     for (const host of this._context.directory.hosts) {
       listed.add(host.hostId)
-      if (host.kind === 'worker') this._see(host)
+      if (host.kind === 'worker') this._trackHost(host)
     }
     for (const session of [...this._sessions.values()]) {
-      if (!listed.has(session.host.hostId)) this._vanished(session)
+      if (!listed.has(session.host.hostId)) this._handleUnlisted(session)
     }
   }
 
-  private _see (host: IHostRecord): void {
+  private _trackHost (host: IHostRecord): void {
     const session = this._sessions.get(host.hostId)
     if (session !== undefined) {
       session.update(host)
@@ -140,12 +140,12 @@
     created.begin()
   }
 
-  private _vanished (session: WorkerSession): void {
+  private _handleUnlisted (session: WorkerSession): void {
     session.update({ ...session.host, state: 'gone' })
-    if (session.state === 'unreachable' && session.liveCount === 0) this._drop(session)
+    if (session.state === 'unreachable' && session.liveCount === 0) this._removeSession(session)
   }
 
-  private _drop (session: WorkerSession): void {
+  private _removeSession (session: WorkerSession): void {
     const { hostId } = session.host
     session.dispose()
     this._sessions.delete(hostId)
@@ -163,8 +163,8 @@
   }
 
   private _isSettled (shardId: string): boolean {
-    const isListedSettled = this._hostsOf(shardId).every((host) => this._sessions.get(host.hostId)?.settled === true)
-    return isListedSettled && [...this._sessions.values()].every((session) => session.fence.shardId !== shardId || session.settled)
+    const areHostsSettled = this._hostsOf(shardId).every((host) => this._sessions.get(host.hostId)?.settled === true)
+    return areHostsSettled && [...this._sessions.values()].every((session) => session.fence.shardId !== shardId || session.settled)
   }
 
   private _hostsOf (shardId: string): readonly IHostRecord[] {
--- a/src/scheduler/jobs/WorkerSession.ts
+++ b/src/scheduler/jobs/WorkerSession.ts
@@ -1,5 +1,6 @@
 /**
- * One worker of an owned shard: fences it, then keeps a long poll open that renews the leases and brings news.
+ * The session with one worker of an owned shard: fences the worker, then keeps a long poll open that renews the leases of
+ * its attempts and returns changes of their states.
  */
 
 import { AmbiguousError, FencedError, RefusedError } from '../../common/Errors.js'
@@ -13,17 +14,17 @@
 import type { ILiveAttempt } from './LiveAttempts.js'
 import type { IAttempt, IAttemptStart, IWorkerEvents } from './Types.js'
 
-/** Also about the longest that a task of a dead host waits for its next attempt. */
+/** Also approximately the longest time that a task of a dead host waits for its next attempt. */
 export const TASK_LEASE_MS = 15_000
-/** Two renewals may be lost before a lease lapses. A shorter wait costs more calls and bytes while nothing happens. */
+/** Two renewals may be lost before a lease lapses. A shorter wait costs more calls and traffic while nothing changes. */
 const SYNC_WAIT_MS = 5000
-/** Between two syncs: ends that come together are told together. */
+/** Shortest time between two syncs, so that attempts that end together are reported together. */
 const MIN_SYNC_GAP_MS = 20
 const RETRY_MS = 500
-/** Clocks may run apart by 1%. */
+/** The rates of two clocks may differ by 1%. */
 const MAX_DRIFT = 0.01
-/** A single lost call says little. */
-const MAX_MISSED = 2
+/** A single lost call is no evidence of a failure. */
+const MAX_MISSED_CALLS = 2
 
 export type WorkerState = 'unfenced' | 'ready' | 'unreachable'
 
@@ -38,15 +39,15 @@
 export class WorkerSession implements IDisposable {
   private readonly _attempts: LiveAttempts
   private readonly _retries = new Set<IDisposable>()
-  private readonly _starts: ILiveAttempt[] = []
+  private readonly _pendingStarts: ILiveAttempt[] = []
   private _state: WorkerState = 'unfenced'
   private _isLeaving = false
   private _capacity: IResources
   private _sequence = 0
-  private _missed = 0
-  /** The last answer left a doubt that an answer to a question asked now settles. */
-  private _mustAskAgain = false
-  private _disposed = false
+  private _missedCalls = 0
+  /** Some attempts weren't listed by the last sync, and only a new sync shows whether they have ended. */
+  private _needsFreshStatus = false
+  private _isDisposed = false
   private _isConfirming = false
 
   public constructor (
@@ -67,17 +68,17 @@
     return this._state
   }
 
-  /** As the host tells it; before that, as the host list does. */
+  /** The capacity that the host reported; until its first answer, the one of the host list. */
   public get capacity (): IResources {
     return this._capacity
   }
 
-  /** Whether it may get new work. */
+  /** Whether the host accepts new work. */
   public get accepting (): boolean {
     return this._state === 'ready' && !this._isLeaving && this._host.state === 'live'
   }
 
-  /** Whether all that runs there is known. */
+  /** Whether all attempts that run on the host are known. */
   public get settled (): boolean {
     return this._attempts.fenced || (this._host.state === 'gone' && this._state === 'unreachable')
   }
@@ -91,12 +92,12 @@
   }
 
   public dispose (): void {
-    this._disposed = true
+    this._isDisposed = true
     for (const retry of this._retries) retry.dispose()
     this._retries.clear()
   }
 
-  /** The host list has news of this host. Its word that a host is gone counts only if the host itself is silent. */
+  /** Takes over the host's current record from the host list. `gone` counts only if the host doesn't answer either. */
   public update (host: IHostRecord): void {
     const before = this.accepting
     this._host = host
@@ -104,15 +105,15 @@
     if (host.state === 'gone' && this._state === 'unreachable') this._attempts.endAll()
   }
 
-  /** Starts an attempt; those of one turn go out in one call. */
+  /** Starts an attempt; attempts that are started in the same turn of the event loop are sent in one call. */
   public start (attempt: IAttemptStart): void {
     const live = this._attempts.add(attempt)
     live.isCalling = true
-    this._starts.push(live)
-    if (this._starts.length === 1) queueMicrotask(() => { this._sendStarts(this._starts.splice(0)) })
+    this._pendingStarts.push(live)
+    if (this._pendingStarts.length === 1) queueMicrotask(() => { this._sendStarts(this._pendingStarts.splice(0)) })
   }
 
-  /** Stops an attempt, and goes on trying until the host has told its end or its lease has lapsed. */
+  /** Stops an attempt, and retries until the host has reported its end or its lease has lapsed. */
   public stop (attempt: IAttempt): void {
     const live = this._attempts.find(attempt)
     if (live === undefined || live.isStopping) return
@@ -123,148 +124,148 @@
   private async _fenceHost (): Promise<void> {
     const sentAtMs = this._context.clock.nowMs()
     const result = await this._context.client.fence(this._host, this.fence)
-    if (this._disposed) return
+    if (this._isDisposed) return
     if (result.isErr()) {
-      this._failed(result.error)
-      if (!(result.error instanceof FencedError)) this._later(RETRY_MS, () => { this._fenceHost() })
+      this._handleError(result.error)
+      if (!(result.error instanceof FencedError)) this._schedule(RETRY_MS, () => { this._fenceHost() })
       return
     }
     this._sequence = result.value.sequence
-    this._attempts.adopt(result.value, this._clockOf(result.value, sentAtMs))
-    this._answered(result.value)
-    this._sync()
+    this._attempts.adopt(result.value, this._clockSnapshotOf(result.value, sentAtMs))
+    this._applyHostStatus(result.value)
+    this._syncHost()
   }
 
   /**
-   * Renews and hears news. A host that doesn't answer is asked without renewing: a renewal that is sent again and
-   * again, and may arrive, would put off for ever the moment from which its tasks may start elsewhere.
+   * Renews the leases and gets the host's status. If the host doesn't answer, further syncs don't renew: repeated renewals
+   * may arrive without an answer, and would postpone for ever the time at which the tasks may start elsewhere.
    */
-  private async _sync (): Promise<void> {
+  private async _syncHost (): Promise<void> {
     const ready = this._state === 'ready'
     const sentAtMs = this._context.clock.nowMs()
     const leaseExpiresHostMs = ready ? this._attempts.renew(sentAtMs) : 0
-    const waitMs = ready && !this._mustAskAgain ? SYNC_WAIT_MS : 0
-    const { confirmations } = this._attempts
+    const waitMs = ready && !this._needsFreshStatus ? SYNC_WAIT_MS : 0
+    const { confirmationCount } = this._attempts
     const sync = { fence: this.fence, leaseExpiresHostMs, afterSequence: this._sequence, waitMs }
     const result = await this._context.client.sync(this._host, sync)
-    if (this._disposed) return
-    result.match((status) => { this._synced(status, sentAtMs, confirmations) }, (error) => { this._failed(error) })
+    if (this._isDisposed) return
+    result.match((status) => { this._handleSync(status, sentAtMs, confirmationCount) }, (error) => { this._handleError(error) })
     if (result.isErr() && result.error instanceof FencedError) return
-    this._later(result.isOk() ? MIN_SYNC_GAP_MS : RETRY_MS, () => { this._sync() })
+    this._schedule(result.isOk() ? MIN_SYNC_GAP_MS : RETRY_MS, () => { this._syncHost() })
   }
 
-  private _synced (status: IWorkerStatus, sentAtMs: number, confirmations: number): void {
-    // A lower sequence means that the host has begun anew and numbers its news from the start.
+  private _handleSync (status: IWorkerStatus, sentAtMs: number, confirmationCount: number): void {
+    // A lower sequence means that the host was restarted and numbers its changes from the start.
     this._sequence = status.sequence
-    this._answered(status)
-    this._attempts.note(status, this._clockOf(status, sentAtMs))
-    this._mustAskAgain = this._attempts.endUnlisted(status, confirmations)
+    this._applyHostStatus(status)
+    this._attempts.applyStatus(status, this._clockSnapshotOf(status, sentAtMs))
+    this._needsFreshStatus = this._attempts.endUnlisted(status, confirmationCount)
     this._sendStarts(this._attempts.unconfirmed())
   }
 
-  private _answered (status: IWorkerStatus): void {
+  private _applyHostStatus (status: IWorkerStatus): void {
     const changed = this._state !== 'ready' || this._isLeaving !== status.leaving || !sameResources(this._capacity, status.capacity)
-    this._missed = 0
+    this._missedCalls = 0
     this._state = 'ready'
     this._isLeaving = status.leaving
     this._capacity = status.capacity
     if (changed) this._events.onHostChanged(this._host.hostId)
   }
 
-  /** A start without an answer is sent again: it takes effect once at most, and not at all after a stop. */
-  private async _sendStarts (lives: readonly ILiveAttempt[]): Promise<void> {
-    const known = lives.filter((live) => this._attempts.has(live))
-    for (const live of known.filter((each) => each.isStopping)) this._sendStop(live)
-    const left = known.filter((live) => !live.isStopping)
-    if (left.length === 0 || this._disposed) return
-    for (const live of left) live.isCalling = true
+  /** Sends the starts of attempts. Repeats are safe: a start takes effect at most once, and not at all after a stop. */
+  private async _sendStarts (attempts: readonly ILiveAttempt[]): Promise<void> {
+    const tracked = attempts.filter((live) => this._attempts.has(live))
+    for (const live of tracked.filter((each) => each.isStopping)) this._sendStop(live)
+    const toStart = tracked.filter((live) => !live.isStopping)
+    if (toStart.length === 0 || this._isDisposed) return
+    for (const live of toStart) live.isCalling = true
     const sentAtMs = this._context.clock.nowMs()
-    const result = await this._context.client.start(this._host, this.fence, this._attempts.toStarts(left, sentAtMs))
-    if (this._disposed) return
-    for (const live of left) live.isCalling = false
+    const result = await this._context.client.start(this._host, this.fence, this._attempts.toStarts(toStart, sentAtMs))
+    if (this._isDisposed) return
+    for (const live of toStart) live.isCalling = false
     if (result.isErr()) {
-      this._startFailed(left, result.error)
+      this._handleStartError(toStart, result.error)
       return
     }
-    this._attempts.note(result.value, this._clockOf(result.value, sentAtMs))
-    for (const live of left) {
+    this._attempts.applyStatus(result.value, this._clockSnapshotOf(result.value, sentAtMs))
+    for (const live of toStart) {
       if (live.isStopping && this._attempts.has(live)) this._sendStop(live)
     }
   }
 
-  private _startFailed (lives: readonly ILiveAttempt[], error: UpstreamError): void {
-    this._failed(error)
+  private _handleStartError (attempts: readonly ILiveAttempt[], error: UpstreamError): void {
+    this._handleError(error)
     if (error instanceof AmbiguousError) {
-      // Once the host counts as unreachable, the next answered sync sends what is not listed then.
-      if (this._state === 'ready') this._later(RETRY_MS, () => { this._sendStarts(lives.filter((live) => !live.isCalling)) })
+      // If the host counts as unreachable, the next answered sync sends the starts of attempts that it doesn't list.
+      if (this._state === 'ready') this._schedule(RETRY_MS, () => { this._sendStarts(attempts.filter((live) => !live.isCalling)) })
       return
     }
-    for (const live of lives) {
+    for (const live of attempts) {
       if (this._attempts.forget(live)) this._events.onNotStarted(this._host.hostId, live.start)
     }
   }
 
   private async _sendStop (live: ILiveAttempt): Promise<void> {
     const sentAtMs = this._context.clock.nowMs()
-    const result = await this._context.client.stop(this._host, this.fence, live.hostTask, live.start.attempt)
-    if (this._disposed) return
+    const result = await this._context.client.stop(this._host, this.fence, live.hostTaskId, live.start.attempt)
+    if (this._isDisposed) return
     if (result.isErr()) {
-      this._failed(result.error)
-      this._later(RETRY_MS, () => { if (this._attempts.has(live)) this._sendStop(live) })
+      this._handleError(result.error)
+      this._schedule(RETRY_MS, () => { if (this._attempts.has(live)) this._sendStop(live) })
       return
     }
     const status = result.value
-    this._attempts.note(status, this._clockOf(status, sentAtMs))
-    const runs = status.tasks.some((task) => task.taskId === live.hostTask && task.attempt === live.start.attempt && task.state === 'running')
-    // The host has taken the stop and doesn't list the attempt as running: it is over, whatever it was before.
-    if (!runs) this._attempts.end(live, 'stopped')
+    this._attempts.applyStatus(status, this._clockSnapshotOf(status, sentAtMs))
+    const isRunning = status.tasks.some((task) => task.taskId === live.hostTaskId && task.attempt === live.start.attempt && task.state === 'running')
+    // The host accepted the stop and doesn't list the attempt as running: the attempt is over, whatever its state was.
+    if (!isRunning) this._attempts.end(live, 'stopped')
   }
 
-  private _failed (error: UpstreamError): void {
+  private _handleError (error: UpstreamError): void {
     if (error instanceof FencedError) {
       this._events.onFenced(this._host.hostId, this.fence.shardId, error.currentEpoch)
     } else if (error instanceof RefusedError) {
-      this._refused()
+      this._handleRefusal()
     } else {
-      this._missed += 1
-      if (this._missed >= MAX_MISSED) this._unreachable(error)
+      this._missedCalls += 1
+      if (this._missedCalls >= MAX_MISSED_CALLS) this._handleUnreachable(error)
     }
   }
 
-  /** The host takes no new work, whatever it was told last; its next answer says for how long. */
-  private _refused (): void {
+  /** Marks the host as leaving because it refused a call; its next answer shows whether it still is. */
+  private _handleRefusal (): void {
     if (this._isLeaving) return
     this._isLeaving = true
     this._events.onHostChanged(this._host.hostId)
   }
 
-  private _unreachable (error: UpstreamError): void {
+  private _handleUnreachable (error: UpstreamError): void {
     if (this._state !== 'unreachable') {
       this._context.log.warn('worker.unreachable', { peer: this._host.hostId, step: error.step })
       this._state = 'unreachable'
       this._events.onHostChanged(this._host.hostId)
     }
     if (this._host.state === 'gone') this._attempts.endAll()
-    else if (this._attempts.endLapsed(this._context.clock.nowMs())) this._confirm()
+    else if (this._attempts.endLapsed(this._context.clock.nowMs())) this._confirmOwnership()
   }
 
-  /** Asks the store whether the shard is still ours: only then do lapsed leases count, because a newer owner renews them. */
-  private async _confirm (): Promise<void> {
+  /** Ends attempts with lapsed leases once the store confirms that this process owns the shard; a newer owner might renew the leases. */
+  private async _confirmOwnership (): Promise<void> {
     if (this._isConfirming) return
     this._isConfirming = true
     const sentAtMs = this._context.clock.nowMs()
     const isOurs = await this._context.shards.confirm(this.fence.shardId, this.fence.epoch)
     this._isConfirming = false
-    if (!isOurs || this._disposed) return
-    this._attempts.noteConfirmed(sentAtMs)
+    if (!isOurs || this._isDisposed) return
+    this._attempts.confirmOwnership(sentAtMs)
     this._attempts.endLapsed(this._context.clock.nowMs())
   }
 
-  private _clockOf (status: IWorkerStatus, sentAtMs: number): IHostClockSnapshot {
+  private _clockSnapshotOf (status: IWorkerStatus, sentAtMs: number): IHostClockSnapshot {
     return { hostMs: status.hostMs, sentAtMs, receivedAtMs: this._context.clock.nowMs() }
   }
 
-  private _later (delayMs: number, callback: () => void): void {
+  private _schedule (delayMs: number, callback: () => void): void {
     const retry = this._context.timers.after(delayMs, () => {
       this._retries.delete(retry)
       callback()
--- a/src/scheduler/ownership/ClaimService.ts
+++ b/src/scheduler/ownership/ClaimService.ts
@@ -1,5 +1,5 @@
 /**
- * The id shards that this process owns, as calls: claim, block, release, and the jobs kept in the same log.
+ * Serves the id shards that this process owns: claim, block and release of attempts, and the jobs in the same logs.
  */
 
 import { err, ok } from 'neverthrow'
@@ -24,19 +24,19 @@
 export interface IClaimServiceOptions {
   /** `processId` of this process. */
   readonly owner: string
-  /** Head writes a second that the whole fleet may cost the store. */
+  /** Most writes of log heads per second that the whole fleet may send to the store. */
   readonly fleetWritesPerSecond: number
-  /** How many id shards share that budget. */
+  /** Number of id shards that share this budget. */
   readonly idShardCount: number
   readonly minCommitIntervalMs: number
   /**
-   * How long a caller's answer waits for one commit, in milliseconds. A store that is slower than this refuses every
-   * claim, so it stands well above a slow answer; a store that hangs costs those who came first this long.
+   * Longest time that an answer waits for one commit, in milliseconds. If the store is slower than this, every claim is
+   * refused, so the limit is well above a slow answer. If the store hangs, the first callers wait this long.
    */
-  readonly patienceMs: number
-  /** Between tries while the store doesn't answer, in milliseconds. */
+  readonly commitTimeoutMs: number
+  /** Time between two tries while the store doesn't answer, in milliseconds. */
   readonly retryMs: number
-  /** What those are told who come while the store doesn't answer, in milliseconds. */
+  /** The retry delay that callers are given while the store doesn't answer, in milliseconds. */
   readonly retryAfterMs: number
   readonly sealBytes: number
   readonly maxCommitBytes: number
@@ -48,7 +48,7 @@
   fleetWritesPerSecond: 150,
   idShardCount: 16,
   minCommitIntervalMs: 5,
-  patienceMs: 1_000,
+  commitTimeoutMs: 1_000,
   retryMs: 500,
   retryAfterMs: 1_000
 } as const
@@ -65,7 +65,7 @@
 
 export class ClaimService implements IDisposable {
   private readonly _onLost = new Emitter<ISliceLost>()
-  /** Another process has raised the epoch in a log: tell `ShardOwner.fenced`. The slice is dropped already. */
+  /** Another process has raised the epoch in a log: call `ShardOwner.reportFenced`. The slice has already been dropped. */
   public readonly onLost = this._onLost.event
   private readonly _slices = new Map<string, IOwnedSlice>()
   private readonly _recoveries = new Map<string, SliceRecovery>()
@@ -81,22 +81,22 @@
   }
 
   /**
-   * Takes a log over; gives the accepted jobs that haven't ended. Waits out an outage of the store. `FencedError`: a
-   * newer owner has been there, or the shard was dropped meanwhile.
+   * Takes a log over and returns the accepted jobs that haven't ended. Retries during a store outage. `FencedError`: a
+   * newer owner has written the log, or the shard was dropped in the meantime.
    */
   public async takeOver (shardId: string, epoch: number): Promise<Result<readonly IJobSpec[], RecoveryError>> {
     this.drop(shardId)
-    const by = { shardId, owner: this._options.owner, epoch }
-    const recovery = new SliceRecovery(this._store, this._clock, by, this._nonce, this._options.retryMs)
+    const claimant = { shardId, owner: this._options.owner, epoch }
+    const recovery = new SliceRecovery(this._store, this._clock, claimant, this._nonce, this._options.retryMs)
     this._recoveries.set(shardId, recovery)
     const recovered = await recovery.run()
     if (this._recoveries.get(shardId) !== recovery) return err(new FencedError('slice.takeOver', shardId, epoch))
     this._recoveries.delete(shardId)
     if (recovered.isErr()) return err(recovered.error)
-    return ok(this._open(shardId, epoch, recovered.value).liveJobs())
+    return ok(this._openSlice(shardId, epoch, recovered.value).liveJobs())
   }
 
-  /** Stops serving a shard; for a loss. Those who wait for a commit hear `notOwner`. */
+  /** Stops serving a shard that has been lost. Callers that wait for a commit are answered `notOwner`. */
   public drop (shardId: string): void {
     this._recoveries.get(shardId)?.cancel()
     this._recoveries.delete(shardId)
@@ -105,26 +105,26 @@
     owned?.slice.dispose()
   }
 
-  /** Waits for what is queued, then stops serving; for a planned release. */
+  /** Waits until all queued entries have an outcome, then stops serving the shard; for a planned release. */
   public async close (shardId: string): Promise<void> {
     const owned = this._slices.get(shardId)
     await owned?.slice.flush()
     if (this._slices.get(shardId) === owned) this.drop(shardId)
   }
 
-  /** Whether this process serves the shard; while it still takes the log over, it does and answers `unavailable`. */
+  /** Whether this process serves the shard. It already does while it takes the log over, and answers `unavailable` meanwhile. */
   public owns (shardId: string): boolean {
     return this._slices.has(shardId) || this._recoveries.has(shardId)
   }
 
   public async claim (request: IClaimRequest): Promise<ClaimReply> {
     const slice = this._slices.get(request.idShard)?.slice
-    return slice === undefined ? this._notServed(request.idShard) : await slice.claim(request)
+    return slice === undefined ? this._notServedReply(request.idShard) : await slice.claim(request)
   }
 
   public async block (request: IClaimRequest): Promise<BlockReply> {
     const slice = this._slices.get(request.idShard)?.slice
-    return slice === undefined ? this._notServed(request.idShard) : await slice.block(request)
+    return slice === undefined ? this._notServedReply(request.idShard) : await slice.block(request)
   }
 
   public async release (request: IClaimRequest): Promise<{ readonly released: boolean }> {
@@ -133,14 +133,14 @@
   }
 
   /**
-   * Makes a job durable before its caller is told "accepted". `dropped`: for certain not accepted; `inDoubt`: it may
-   * still be, and asking again with the same job id tells.
+   * Makes a job durable before its caller is told "accepted". `dropped`: the job is certainly not accepted. `inDoubt`: it
+   * may still become accepted; submitting the same job id again shows whether it has.
    */
   public async acceptJob (shardId: string, job: IJobSpec): Promise<JobOutcome> {
     return await (this._slices.get(shardId)?.slice.acceptJob(job) ?? 'lost')
   }
 
-  /** Makes a job's end durable; repeat it while the outcome is `dropped` or `inDoubt`. */
+  /** Makes a job's end durable. Call again while the outcome is `dropped` or `inDoubt`. */
   public async endJob (shardId: string, jobId: string, state: JobState): Promise<AppendOutcome> {
     return await (this._slices.get(shardId)?.slice.endJob(jobId, state) ?? 'lost')
   }
@@ -154,33 +154,33 @@
     this._disposables.dispose()
   }
 
-  private _open (shardId: string, epoch: number, recovered: IRecoveredSlice): Slice {
-    const { owner, sealBytes, maxCommitBytes, retentionMs, patienceMs, retryMs, retryAfterMs } = this._options
+  private _openSlice (shardId: string, epoch: number, recovered: IRecoveredSlice): Slice {
+    const { owner, sealBytes, maxCommitBytes, retentionMs, commitTimeoutMs, retryMs, retryAfterMs } = this._options
     const log = new SliceLog({ shardId, owner, epoch, sealBytes, maxCommitBytes, retentionMs }, this._nonce, recovered.start)
-    const timing = { patienceMs, retryMs, commitIntervalMs: () => this._commitIntervalMs() }
+    const timing = { commitTimeoutMs, retryMs, commitIntervalMs: () => this._commitIntervalMs() }
     const writer = new SliceWriter(this._store, this._clock, log, shardId, timing)
     const slice = new Slice(this._clock, writer, { retentionMs, retryAfterMs }, recovered.entries)
-    slice.onLost(() => { this._lost(shardId, epoch) })
+    slice.onLost(() => { this._handleLost(shardId, epoch) })
     this._slices.set(shardId, { epoch, slice })
     return slice
   }
 
   /**
-   * Made for the load in which every id shard commits all the time. The store takes several hundred writes a second
-   * whatever the fleet's size; were the interval fixed, more shards would push the members' lease renewals out and
-   * one would see owners change. The interval grows with the number of shards that share the budget.
+   * Time between two commits, for the load at which every id shard commits continuously. The store handles several
+   * hundred writes a second, whatever the fleet's size. With a fixed interval, the writes of more shards would delay the
+   * members' lease renewals, and shards would change owner. So the interval grows with the number of shards.
    */
   private _commitIntervalMs (): number {
     const shareMs = this._options.idShardCount / this._options.fleetWritesPerSecond * 1_000
     return Math.max(this._options.minCommitIntervalMs, shareMs)
   }
 
-  private _lost (shardId: string, epoch: number): void {
+  private _handleLost (shardId: string, epoch: number): void {
     this.drop(shardId)
     this._onLost.fire({ shardId, epoch })
   }
 
-  private _notServed (shardId: string): { readonly decision: 'notOwner' } | { readonly decision: 'unavailable', readonly retryAfterMs: number } {
+  private _notServedReply (shardId: string): { readonly decision: 'notOwner' } | { readonly decision: 'unavailable', readonly retryAfterMs: number } {
     if (this._recoveries.has(shardId)) return { decision: 'unavailable', retryAfterMs: this._options.retryMs }
     return { decision: 'notOwner' }
   }
--- a/src/scheduler/ownership/Claims.fuzz.test.ts
+++ b/src/scheduler/ownership/Claims.fuzz.test.ts
@@ -1,7 +1,7 @@
 /**
- * Claims over real logs and a store with faults, in long random runs: several owners, of which the older ones don't
- * know that they have been superseded, and dispatchers that act as the protocol says. The naive version of "at most
- * once" is a set: each key is dispatched by one attempt at most, and never by one that was told to be blocked.
+ * Claims in real logs and a store with faults, in long random runs: several owners, of which the older ones don't know
+ * that they have been superseded, and dispatchers that follow the protocol. The reference model of "at most once" is a
+ * map: each key is dispatched by at most one attempt, and never by an attempt that was reported as blocked.
  */
 
 import test from 'ava'
@@ -48,10 +48,10 @@
     const reply = await this._services[process]?.block(request)
     if (reply?.decision !== 'blocked') return
     this._blocked.add(request.attemptId)
-    this._check(request)
+    this._checkNotBlocked(request)
   }
 
-  /** A dispatcher that stops waiting ends its attempt first and releases then. */
+  /** A dispatcher that stops waiting ends its attempt first and then releases the claim. */
   public giveUp (process: number, key: number, attempt: number): void {
     const request = this._request(key, attempt)
     if (this._dispatched.get(request.claimKey) === request.attemptId) return
@@ -59,7 +59,7 @@
     this._services[process]?.release(request)
   }
 
-  public async fault (kind: Fault): Promise<void> {
+  public async injectFault (kind: Fault): Promise<void> {
     if (kind === 'down') this._store.setDown(true)
     if (kind === 'up') this._store.setDown(false)
     if (kind === 'hang') this._store.hold()
@@ -68,19 +68,19 @@
     await settle()
   }
 
-  public async pass (ms: number): Promise<void> {
+  public async advanceTime (ms: number): Promise<void> {
     await advance(this._clock, ms, 100)
   }
 
-  /** The store is well again, and each key that no one dispatched can be claimed by a new attempt, once released. */
+  /** Removes all faults, then checks that claims are served again: a new attempt of an unused key must be dispatched. */
   public async finish (): Promise<void> {
     this._store.clearFaults()
     this._store.letGo()
     this._store.setDown(false)
     this.takeOver(0)
-    await this.pass(3_000)
+    await this.advanceTime(3_000)
     const last = this.claim(0, 99, 0)
-    await this.pass(1_000)
+    await this.advanceTime(1_000)
     await last
     if (!this._dispatched.has('k99')) throw new Error('claims are not served again after the faults')
     for (const service of this._services) service.dispose()
@@ -99,11 +99,11 @@
     if (first !== request.attemptId) throw new Error(`${request.claimKey} ran twice: ${first} and ${request.attemptId}`)
     this.granted += 1
     this._dispatched.set(request.claimKey, request.attemptId)
-    this._check(request)
+    this._checkNotBlocked(request)
   }
 
-  private _check ({ claimKey, attemptId }: IClaimRequest): void {
-    if (this._dispatched.get(claimKey) === attemptId && this._blocked.has(attemptId)) throw new Error(`${attemptId} was called blocked, and ran`)
+  private _checkNotBlocked ({ claimKey, attemptId }: IClaimRequest): void {
+    if (this._dispatched.get(claimKey) === attemptId && this._blocked.has(attemptId)) throw new Error(`${attemptId} was reported as blocked, and ran`)
   }
 }
 
@@ -133,23 +133,23 @@
   ms: fc.constantFrom(10, 100, 300, 1_000)
 })
 
-test('no key is dispatched twice, and no blocked attempt runs, whatever fails', async (t) => {
+test('no key is dispatched twice and no blocked attempt runs, whatever fails', async (t) => {
   let granted = 0
   await fc.assert(fc.asyncProperty(fc.array(command, { minLength: 40, maxLength: 120 }), async (commands) => {
     const run = new Run()
-    const asked: Promise<void>[] = []
+    const pendingCalls: Promise<void>[] = []
     run.takeOver(0)
     await settle()
     for (const { type, process, key, attempt, fault, ms } of commands) {
-      if (type === 'claim') asked.push(run.claim(process, key, attempt))
-      if (type === 'block') asked.push(run.block(process, key, attempt))
+      if (type === 'claim') pendingCalls.push(run.claim(process, key, attempt))
+      if (type === 'block') pendingCalls.push(run.block(process, key, attempt))
       if (type === 'giveUp') run.giveUp(process, key, attempt)
       if (type === 'takeOver') run.takeOver(process)
-      if (type === 'fault') await run.fault(fault)
-      if (type === 'pass') await run.pass(ms)
+      if (type === 'fault') await run.injectFault(fault)
+      if (type === 'pass') await run.advanceTime(ms)
     }
     await run.finish()
-    await Promise.all(asked)
+    await Promise.all(pendingCalls)
     granted += run.granted
   }), { seed: SEED, numRuns: RUNS })
   t.true(granted > RUNS)
--- a/src/scheduler/ownership/MemberView.ts
+++ b/src/scheduler/ownership/MemberView.ts
@@ -1,5 +1,5 @@
 /**
- * The members as the store shows them, from a range and the watch.
+ * The registered members, from a range read of the store and the watch that follows it.
  */
 
 import { MEMBER_PREFIX, parseMemberEntry } from './MemberRegistration.js'
@@ -11,16 +11,16 @@
 export class MemberView {
   private readonly _members = new Map<string, IMemberEntry>()
 
-  /** Replaces everything. */
+  /** Replaces all members. */
   public reset (records: readonly IStoreRecord[]): void {
     this._members.clear()
-    for (const record of records) this._put(record)
+    for (const record of records) this._putRecord(record)
   }
 
   public apply (changes: readonly IStoreChange[]): void {
     for (const change of changes) {
       if (change.deleted) this._members.delete(change.key.slice(MEMBER_PREFIX.length))
-      else this._put(change)
+      else this._putRecord(change)
     }
   }
 
@@ -28,17 +28,17 @@
     return [...this._members.values()]
   }
 
-  /** Schedulers that may be given shards. */
+  /** The schedulers that may be assigned shards. */
   public candidates (): readonly IMemberEntry[] {
     return this.all().filter((member) => member.role === 'scheduler' && !member.draining)
   }
 
-  /** Whether this very incarnation is registered. */
+  /** Whether exactly this incarnation is registered. */
   public isAlive (owner: IOwner): boolean {
     return this._members.get(owner.processId)?.incarnation === owner.incarnation
   }
 
-  private _put (record: IStoreRecord): void {
+  private _putRecord (record: IStoreRecord): void {
     const entry = parseMemberEntry(record.value)
     if (entry !== undefined) this._members.set(record.key.slice(MEMBER_PREFIX.length), entry)
   }
--- a/src/scheduler/ownership/Ownership.fuzz.test.ts
+++ b/src/scheduler/ownership/Ownership.fuzz.test.ts
@@ -1,6 +1,6 @@
 /**
- * Several owners on one store in long random runs: processes are killed and replaced, leases lapse, the store is down
- * or loses answers. The naive version is a table of who was ever told that it holds which epoch.
+ * Several owners on one store in long random runs: processes are killed and replaced, leases lapse, and the store is down
+ * or loses answers. The reference model is a table of the process that acquired each epoch of each shard.
  */
 
 import test from 'ava'
@@ -33,29 +33,29 @@
   private readonly _clock = new ManualClock()
   private readonly _store = new MemoryStore(this._clock)
   private readonly _holders = new Map<string, string>()
-  private readonly _highest = new Map<string, number>()
+  private readonly _highestEpochs = new Map<string, number>()
   private _incarnations = 0
   private _nonces = 0
-  private _processes: IProcess[] = NAMES.map((name) => this._start(name))
+  private _processes: IProcess[] = NAMES.map((name) => this._startProcess(name))
 
-  public replace (index: number): void {
+  public replaceProcess (index: number): void {
     const old = this._processes[index]
     old?.member.dispose()
     old?.owner.dispose()
-    this._processes = this._processes.map((process, at) => at === index ? this._start(process.name) : process)
+    this._processes = this._processes.map((process, at) => at === index ? this._startProcess(process.name) : process)
   }
 
-  public lapse (index: number): void {
+  public lapseLease (index: number): void {
     this._store.lapse(`lease-${index + 1}`)
   }
 
-  public release (index: number): void {
+  public releaseShard (index: number): void {
     const owner = this._processes[index]?.owner
     const first = owner?.held()[0]
     if (first !== undefined) owner?.release(first.shardId)
   }
 
-  public fault (kind: WriteFault): void {
+  public failNextWrite (kind: WriteFault): void {
     this._store.failNextWrite(kind, 'shards/')
   }
 
@@ -63,15 +63,15 @@
     this._store.setDown(down)
   }
 
-  public async pass (ms: number): Promise<void> {
+  public async advanceTime (ms: number): Promise<void> {
     await advance(this._clock, ms, 250)
   }
 
-  /** With the store well again each shard has one owner, the record says the same, and the shards are spread. */
+  /** Removes all faults, then checks that each shard has one owner and that the shards are spread evenly. */
   public async finish (): Promise<void> {
     this._store.clearFaults()
     this.setDown(false)
-    await this.pass(60_000)
+    await this.advanceTime(60_000)
     const held = this._processes.map(({ owner }) => owner.held())
     const counts = held.map((shards) => shards.length)
     for (const process of this._processes) process.owner.dispose()
@@ -80,16 +80,18 @@
     if (new Set(held.flat().map(({ shardId }) => shardId)).size !== SHARDS.length) throw new Error('a shard has two owners')
   }
 
-  private _start (name: string): IProcess {
+  private _startProcess (name: string): IProcess {
     this._incarnations += 1
     const incarnation = this._incarnations
-    const entry = { processId: name, incarnation, role: 'scheduler' as const, region: 'r', failureDomain: 'f', peerUrl: '', operatorUrl: '', draining: false }
+    const entry = {
+      processId: name, incarnation, role: 'scheduler' as const, region: 'r', failureDomain: 'f', peerUrl: '', operatorUrl: '', draining: false
+    }
     const member = new MemberRegistration(this._store, this._clock, entry, DEFAULT_MEMBER_REGISTRATION_OPTIONS)
-    const user = { beforeRelease: async () => {} }
+    const releaseHandler = { beforeRelease: async () => {} }
     const owner = new ShardOwner(
-      this._store, this._clock, member, chart, new ShardAssignment(hash), user, () => `n${this._nonces++}`, DEFAULT_SHARD_OWNER_OPTIONS)
+      this._store, this._clock, member, chart, new ShardAssignment(hash), releaseHandler, () => `n${this._nonces++}`, DEFAULT_SHARD_OWNER_OPTIONS)
     owner.onAcquired(({ shardId, epoch }) => {
-      this._note(shardId, epoch, `${name}.${incarnation}`)
+      this._recordAcquired(shardId, epoch, `${name}.${incarnation}`)
       owner.ready(shardId, epoch)
     })
     owner.setShards(SHARDS)
@@ -98,13 +100,13 @@
     return { name, member, owner }
   }
 
-  private _note (shardId: string, epoch: number, holder: string): void {
+  private _recordAcquired (shardId: string, epoch: number, holder: string): void {
     const key = `${shardId}@${epoch}`
     const other = this._holders.get(key)
     if (other !== undefined && other !== holder) throw new Error(`${key} was held by ${other} and ${holder}`)
-    if (epoch < (this._highest.get(shardId) ?? 0)) throw new Error(`${key}: the epoch went back`)
+    if (epoch < (this._highestEpochs.get(shardId) ?? 0)) throw new Error(`${key}: the epoch decreased`)
     this._holders.set(key, holder)
-    this._highest.set(shardId, epoch)
+    this._highestEpochs.set(shardId, epoch)
   }
 }
 
@@ -117,14 +119,14 @@
 test('each epoch has one holder, and after the faults each shard has one owner', async (t) => {
   await fc.assert(fc.asyncProperty(fc.array(command, { minLength: 10, maxLength: 40 }), async (commands) => {
     const run = new Run()
-    await run.pass(1_000)
+    await run.advanceTime(1_000)
     for (const { type, index, ms } of commands) {
-      if (type === 'replace') run.replace(index)
-      if (type === 'lapse') run.lapse(index)
-      if (type === 'release') run.release(index)
+      if (type === 'replace') run.replaceProcess(index)
+      if (type === 'lapse') run.lapseLease(index)
+      if (type === 'release') run.releaseShard(index)
       if (type === 'down' || type === 'up') run.setDown(type === 'down')
-      if (type === 'answerLost' || type === 'requestLost') run.fault(type)
-      if (type === 'pass') await run.pass(ms)
+      if (type === 'answerLost' || type === 'requestLost') run.failNextWrite(type)
+      if (type === 'pass') await run.advanceTime(ms)
       await settle()
     }
     await run.finish()
--- a/src/scheduler/ownership/ShardOwner.ts
+++ b/src/scheduler/ownership/ShardOwner.ts
@@ -1,6 +1,6 @@
 /**
- * Keeps this process's share of the shards: takes over what has no living owner, gives up what was taken from it,
- * hands surplus to newcomers, and releases everything on a planned stop.
+ * Holds this process's share of the shards: takes over shards that have no live owner, gives up shards that another
+ * process has taken, releases surplus shards to new members, and releases everything on a planned stop.
  */
 
 import { DisposableStore, Emitter } from '../../common/Emitter.js'
@@ -21,15 +21,15 @@
 import type { IKeyValueStore, IStoreChange, IStoreRange } from '../../runtime/Types.js'
 import type { MemberRegistration } from './MemberRegistration.js'
 import type { IKnownShard } from './ShardSet.js'
-import type { IShardAcquired, IShardLost, IShardOwnerOptions, IShardUser } from './Types.js'
+import type { IShardAcquired, IShardLost, IShardOwnerOptions, IShardReleaseHandler } from './Types.js'
 
-/** Changes that come together are looked at together: a lost failure domain brings hundreds at once. In milliseconds. */
-const SETTLE_MS = 20
+/** Changes within this time are evaluated together: the loss of a failure domain causes hundreds. In milliseconds. */
+const COALESCE_MS = 20
 
 export class ShardOwner implements IDisposable {
   private readonly _disposables = new DisposableStore()
   private readonly _onAcquired = this._disposables.add(new Emitter<IShardAcquired>())
-  /** Fence the hosts or take the log over under this epoch, then call `ready`. */
+  /** A shard was acquired: fence its hosts or take its log over under this epoch, then call `markReady`. */
   public readonly onAcquired = this._onAcquired.event
   private readonly _onLost = this._disposables.add(new Emitter<IShardLost>())
   public readonly onLost = this._onLost.event
@@ -38,21 +38,21 @@
   public readonly onMembers = this._onMembers.event
   private readonly _onReachable = this._disposables.add(new Emitter<boolean>())
   public readonly onReachable = this._onReachable.event
-  /** A record can't be read; its shard has no new owner until it is mended. */
+  /** A record can't be decoded; its shard gets no new owner until the record is repaired. */
   public readonly onDamaged: Event<InvalidInputError>
 
   public readonly members = new MemberView()
   private readonly _writer: ShardRecordWriter
   private readonly _shards: ShardSet
-  private readonly _confirming = new Map<string, Promise<IShardRecord | undefined>>()
-  private _evaluation: IDisposable | undefined
-  private _takesUnderWay = 0
-  private _loaded = false
-  private _stopping = false
-  private _disposed = false
-  private _reachable = true
-  private _takeFromMs: MonotonicMs = 0
-  private _membersSinceMs: MonotonicMs = 0
+  private readonly _pendingReads = new Map<string, Promise<IShardRecord | undefined>>()
+  private _evaluationTimer: IDisposable | undefined
+  private _pendingTakeovers = 0
+  private _isLoaded = false
+  private _isStopping = false
+  private _isDisposed = false
+  private _isReachable = true
+  private _noTakeoverBeforeMs: MonotonicMs = 0
+  private _membersChangedAtMs: MonotonicMs = 0
 
   public constructor (
     private readonly _store: IKeyValueStore,
@@ -60,105 +60,106 @@
     private readonly _member: MemberRegistration,
     private readonly _chart: ChartTable,
     private readonly _assignment: ShardAssignment,
-    private readonly _user: IShardUser,
+    private readonly _releaseHandler: IShardReleaseHandler,
     private readonly _nonce: () => string,
     private readonly _options: IShardOwnerOptions
   ) {
     const self = { processId: _member.entry.processId, incarnation: _member.entry.incarnation }
     this._shards = this._disposables.add(new ShardSet((spec) => new ShardOwnership(_chart, self, spec, _nonce)))
     this.onDamaged = this._shards.onDamaged
-    this._shards.onChange(({ shard, change }) => { this._changed(shard, change) })
-    this._writer = this._disposables.add(new ShardRecordWriter(_store, _clock, _options.evaluateMs))
+    this._shards.onChange(({ shard, change }) => { this._handleOwnershipChange(shard, change) })
+    this._writer = this._disposables.add(new ShardRecordWriter(_store, _clock, _options.evaluationIntervalMs))
     this._disposables.add(this._member.onRegistered(() => { this._evaluateSoon() }))
   }
 
-  /** Loads members and records, then follows them. */
+  /** Loads the members and the shard records, then watches them. */
   public start (): void {
-    this._disposables.add(this._clock.every(this._options.evaluateMs, () => { this._tick() }))
+    this._disposables.add(this._clock.every(this._options.evaluationIntervalMs, () => { this._tick() }))
     this._load()
   }
 
-  /** Says which shards there are: the racks of the host list and the fixed id shards. Unlisted ones that we hold stay held. */
+  /** Adds the shards that exist: the racks of the host list and the fixed id shards. Held shards that aren't listed stay held. */
   public setShards (specs: readonly IShardSpec[]): void {
     for (const spec of specs) this._shards.add(spec)
     this._evaluateSoon()
   }
 
-  /** The epoch under which a shard is ours, or undefined. */
+  /** The epoch under which this process holds the shard; undefined if it doesn't. */
   public epochOf (shardId: string): number | undefined {
     const ownership = this._shards.get(shardId)?.ownership
     return ownership?.held === true ? ownership.epoch : undefined
   }
 
-  /** Shards that are ours, with their epochs. */
+  /** The shards that this process holds, with their epochs. */
   public held (): readonly IShardAcquired[] {
     return this._shards.held().map(({ spec, ownership }) => ({ shardId: spec.shardId, kind: spec.kind, epoch: ownership.epoch }))
   }
 
-  /** The owner on record, for routing; undefined if nobody has it. */
+  /** The owner on record, for routing; undefined if there is none. */
   public ownerOf (shardId: string): string | undefined {
     return this._shards.get(shardId)?.ownership.owner?.processId
   }
 
   /**
-   * Whether the store, asked after this call, shows the shard as ours under this epoch; false also when it can't be asked.
+   * Whether the store, read after this call, shows this process as the shard's owner under this epoch; false also if the
+   * store doesn't answer.
    *
-   * Made for a rack or failure domain whose hosts fall silent together: all of them ask about the same few shards, and a
-   * read for each would use up the store's rate. Those who ask within a few milliseconds share one read, sent after the
-   * last of them.
+   * Calls within a few milliseconds share one read, which is sent after the last of them. When all hosts of a rack or
+   * failure domain become unreachable together, their sessions ask about the same few shards, and one read for each would
+   * exceed the request rate that the store can handle.
    */
   public async confirm (shardId: string, epoch: number): Promise<boolean> {
-    const record = await (this._confirming.get(shardId) ?? this._readSoon(shardId))
+    const record = await (this._pendingReads.get(shardId) ?? this._scheduleRead(shardId))
     return record?.epoch === epoch && record.owner === this._member.entry.processId
   }
 
-  /** The takeover is complete. */
+  /** Marks the takeover of a shard as complete. */
   public ready (shardId: string, epoch: number): void {
     this._shards.get(shardId)?.ownership.ready(epoch)
   }
 
-  /** A host or a log has refused us with a newer epoch. */
+  /** Reports that a host or a log has refused this process because of a newer epoch. */
   public fenced (shardId: string, currentEpoch: number): void {
     const shard = this._shards.get(shardId)
-    if (shard !== undefined) this._shards.apply(shard, shard.ownership.fenced(currentEpoch))
+    if (shard !== undefined) this._shards.fireChange(shard, shard.ownership.fenced(currentEpoch))
   }
 
-  /** Releases one shard in good order. */
+  /** Releases one shard as planned, after its work has been handed over. */
   public async release (shardId: string): Promise<void> {
     const shard = this._shards.get(shardId)
     if (shard === undefined || !shard.ownership.held || shard.releasing) return
     shard.releasing = true
-    await this._user.beforeRelease(shardId, shard.ownership.epoch)
+    await this._releaseHandler.beforeRelease(shardId, shard.ownership.epoch)
     const write = shard.ownership.release()
-    if (write !== undefined) await this._write(shard, write)
+    if (write !== undefined) await this._writeRecord(shard, write)
     shard.releasing = false
   }
 
-  /** Planned stop: takes nothing more, and releases everything. */
+  /** Stops taking shards over and releases all held shards; for a planned stop. */
   public async releaseAll (): Promise<void> {
-    this._stopping = true
+    this._isStopping = true
     await this._member.setDraining()
     await Promise.all(this.held().map(async ({ shardId }) => { await this.release(shardId) }))
   }
 
   public dispose (): void {
-    this._disposed = true
-    this._evaluation?.dispose()
+    this._isDisposed = true
+    this._evaluationTimer?.dispose()
     this._disposables.dispose()
   }
 
-  private _readSoon (shardId: string): Promise<IShardRecord | undefined> {
+  private _scheduleRead (shardId: string): Promise<IShardRecord | undefined> {
     const reading = new Promise<IShardRecord | undefined>((resolve) => {
-      this._clock.after(SETTLE_MS, () => {
-        this._confirming.delete(shardId)
-        resolve(this._read(shardId))
+      this._clock.after(COALESCE_MS, () => {
+        this._pendingReads.delete(shardId)
+        resolve(this._readRecord(shardId))
       })
     })
-    this._confirming.set(shardId, reading)
+    this._pendingReads.set(shardId, reading)
     return reading
   }
 
-  private async _read (shardId: string): Promise<IShardRecord | undefined> {
+  private async _readRecord (shardId: string): Promise<IShardRecord | undefined> {
     const key = SHARD_PREFIX + shardId
     const found = await this._store.get(key)
     if (found.isErr() || found.value === undefined) return undefined
@@ -168,55 +169,55 @@
   private async _load (): Promise<void> {
     const members = await this._store.range(MEMBER_PREFIX)
     const shards = await this._store.range(SHARD_PREFIX)
-    if (this._disposed) return
+    if (this._isDisposed) return
     if (members.isErr() || shards.isErr()) {
-      this._clock.after(this._options.evaluateMs, () => { this._load() })
+      this._clock.after(this._options.evaluationIntervalMs, () => { this._load() })
       return
     }
     this._resetMembers(members.value)
     this._resetShards(shards.value)
-    this._loaded = true
-    this._follow(members.value.revision, shards.value.revision)
+    this._isLoaded = true
+    this._watchStore(members.value.revision, shards.value.revision)
     this._evaluateSoon()
   }
 
-  private _follow (membersRevision: number, shardsRevision: number): void {
+  private _watchStore (membersRevision: number, shardsRevision: number): void {
     this._disposables.add(this._store.watch(MEMBER_PREFIX, membersRevision, {
-      onChanges: (changes) => { this._membersChanged(() => { this.members.apply(changes) }) },
+      onChanges: (changes) => { this._changeMembers(() => { this.members.apply(changes) }) },
       onReset: (range) => { this._resetMembers(range) },
       onReachable: (reachable) => { this._setReachable(reachable) }
     }))
     this._disposables.add(this._store.watch(SHARD_PREFIX, shardsRevision, {
-      onChanges: (changes) => { this._shardsChanged(changes) },
+      onChanges: (changes) => { this._applyShardChanges(changes) },
       onReset: (range) => { this._resetShards(range) },
       onReachable: () => {}
     }))
   }
 
   private _resetMembers (range: IStoreRange): void {
-    this._membersChanged(() => { this.members.reset(range.records) })
+    this._changeMembers(() => { this.members.reset(range.records) })
   }
 
-  private _membersChanged (change: () => void): void {
+  private _changeMembers (change: () => void): void {
     change()
-    this._membersSinceMs = this._clock.nowMs()
+    this._membersChangedAtMs = this._clock.nowMs()
     this._onMembers.fire()
     this._evaluateSoon()
   }
 
   private _resetShards (range: IStoreRange): void {
-    for (const record of range.records) this._shards.see(record, false)
+    for (const record of range.records) this._shards.observeRecord(record, false)
     this._evaluateSoon()
   }
 
-  private _shardsChanged (changes: readonly IStoreChange[]): void {
-    for (const change of changes) this._shards.see(change, change.deleted)
+  private _applyShardChanges (changes: readonly IStoreChange[]): void {
+    for (const change of changes) this._shards.observeRecord(change, change.deleted)
     this._evaluateSoon()
   }
 
   private _setReachable (reachable: boolean): void {
-    if (reachable && !this._reachable) this._takeFromMs = this._clock.nowMs() + this._options.graceAfterOutageMs
-    this._reachable = reachable
+    if (reachable && !this._isReachable) this._noTakeoverBeforeMs = this._clock.nowMs() + this._options.graceAfterOutageMs
+    this._isReachable = reachable
     this._onReachable.fire(reachable)
   }
 
@@ -226,60 +227,60 @@
   }
 
   private _evaluateSoon (): void {
-    if (this._disposed) return
-    this._evaluation ??= this._clock.after(SETTLE_MS, () => { this._evaluate() })
+    if (this._isDisposed) return
+    this._evaluationTimer ??= this._clock.after(COALESCE_MS, () => { this._evaluate() })
   }
 
   private _evaluate (): void {
-    this._evaluation?.dispose()
-    this._evaluation = undefined
-    if (!this._loaded || this._stopping || this._disposed || !this._reachable || !this._member.registered) return
-    if (this._clock.nowMs() < this._takeFromMs) return
-    const proposal = this._propose()
+    this._evaluationTimer?.dispose()
+    this._evaluationTimer = undefined
+    if (!this._isLoaded || this._isStopping || this._isDisposed || !this._isReachable || !this._member.registered) return
+    if (this._clock.nowMs() < this._noTakeoverBeforeMs) return
+    const proposal = this._proposeOwners()
     for (const shard of this._shards.all()) {
-      if (this._takesUnderWay >= this._options.maxTakesUnderWay) return
-      const ours = proposal.get(shard.spec.shardId) === this._member.entry.processId
-      if (ours && !shard.damaged && shard.ownership.canTake((owner) => this.members.isAlive(owner))) this._take(shard)
+      if (this._pendingTakeovers >= this._options.maxConcurrentTakeovers) return
+      const isProposed = proposal.get(shard.spec.shardId) === this._member.entry.processId
+      if (isProposed && !shard.damaged && shard.ownership.canTake((owner) => this.members.isAlive(owner))) this._takeOver(shard)
     }
   }
 
-  private _propose (): ReadonlyMap<string, string> {
+  private _proposeOwners (): ReadonlyMap<string, string> {
     const specs = this._shards.all().map((shard) => shard.spec)
-    return this._assignment.propose(specs, this.members.candidates(), (shardId) => this._livingOwner(shardId))
+    return this._assignment.propose(specs, this.members.candidates(), (shardId) => this._liveOwnerOf(shardId))
   }
 
-  private _livingOwner (shardId: string): string | undefined {
+  private _liveOwnerOf (shardId: string): string | undefined {
     const owner = this._shards.get(shardId)?.ownership.owner
     return owner !== undefined && this.members.isAlive(owner) ? owner.processId : undefined
   }
 
-  /** Hands over one shard at a time that the proposal gives to another: newcomers get their share, queues move seldom. */
+  /** Releases one shard at a time that the proposal assigns to another member, so that new members get their share and few queues move. */
   private _rebalance (): void {
-    if (!this._loaded || this._stopping || !this._reachable) return
-    if (this._clock.nowMs() - this._membersSinceMs < this._options.rebalanceAfterMs) return
+    if (!this._isLoaded || this._isStopping || !this._isReachable) return
+    if (this._clock.nowMs() - this._membersChangedAtMs < this._options.rebalanceAfterMs) return
     if (this._shards.all().some((shard) => shard.releasing)) return
-    const proposal = this._propose()
+    const proposal = this._proposeOwners()
     const surplus = this.held().find(({ shardId }) => proposal.has(shardId) && proposal.get(shardId) !== this._member.entry.processId)
     if (surplus !== undefined) this.release(surplus.shardId)
   }
 
-  private async _take (shard: IKnownShard): Promise<void> {
+  private async _takeOver (shard: IKnownShard): Promise<void> {
     const write = shard.ownership.take()
     if (write === undefined) return
-    this._takesUnderWay += 1
-    await this._write(shard, write)
-    this._takesUnderWay -= 1
+    this._pendingTakeovers += 1
+    await this._writeRecord(shard, write)
+    this._pendingTakeovers -= 1
     this._evaluateSoon()
   }
 
-  private async _write (shard: IKnownShard, write: IRecordWrite): Promise<void> {
+  private async _writeRecord (shard: IKnownShard, write: IRecordWrite): Promise<void> {
     await this._writer.write(shard.ownership, write, {
-      onChange: (change) => { this._shards.apply(shard, change) },
-      onRead: (read) => { this._shards.see(read, false) }
+      onChange: (change) => { this._shards.fireChange(shard, change) },
+      onRead: (read) => { this._shards.observeRecord(read, false) }
     })
   }
 
-  private _changed (shard: IKnownShard, change: OwnershipChange): void {
+  private _handleOwnershipChange (shard: IKnownShard, change: OwnershipChange): void {
     const { shardId, kind } = shard.spec
     if (change.type === 'acquired') {
       this._onAcquired.fire({ shardId, kind, epoch: change.epoch })
--- a/src/scheduler/ownership/ShardRecordWriter.ts
+++ b/src/scheduler/ownership/ShardRecordWriter.ts
@@ -1,9 +1,9 @@
 /**
- * Writes one shard's record and doesn't rest until it is known whether that took effect.
+ * Writes the record of a shard and retries until it is known whether the write took effect.
  */
 
 import { shardKey } from '../../common/state/ShardOwnership.js'
-import { doWrite } from './StoreOutcome.js'
+import { performWrite } from './StoreOutcome.js'
 
 import type { IRecordWrite, OwnershipChange, ShardOwnership } from '../../common/state/ShardOwnership.js'
 import type { IDisposable, ITimers } from '../../common/Types.js'
@@ -11,12 +11,12 @@
 
 export interface IRecordWriteListener {
   onChange (change: OwnershipChange | undefined): void
-  /** A record has been read: report it to the ownership. */
+  /** A record has been read and must be passed to the ownership. */
   onRead (record: IStoreRecord): void
 }
 
 export class ShardRecordWriter implements IDisposable {
-  private _disposed = false
+  private _isDisposed = false
 
   public constructor (
     private readonly _store: IKeyValueStore,
@@ -24,27 +24,27 @@
     private readonly _retryMs: number
   ) {}
 
-  /** Does a write, and settles a lost answer by reading back and repeating the same write. */
+  /** Performs a write. If its answer is lost, reads the record back and repeats the same write if necessary. */
   public async write (ownership: ShardOwnership, write: IRecordWrite, listener: IRecordWriteListener): Promise<void> {
-    while (!this._disposed) {
-      const result = await doWrite(this._store, write)
+    while (!this._isDisposed) {
+      const result = await performWrite(this._store, write)
       listener.onChange(ownership.wrote(write, result.outcome, result.modRevision))
       if (ownership.state !== 'confirming' && ownership.state !== 'releasing') return
       await this._readBack(ownership, write.record.shardId, listener)
       if (ownership.pendingWrite !== write) return
-      await this._pause()
+      await this._waitForRetry()
     }
   }
 
   public dispose (): void {
-    this._disposed = true
+    this._isDisposed = true
   }
 
   private async _readBack (ownership: ShardOwnership, shardId: string, listener: IRecordWriteListener): Promise<void> {
-    while (!this._disposed) {
+    while (!this._isDisposed) {
       const read = await this._store.get(shardKey(shardId))
       if (read.isErr()) {
-        await this._pause()
+        await this._waitForRetry()
         continue
       }
       if (read.value === undefined) listener.onChange(ownership.observe(undefined, 0))
@@ -53,7 +53,7 @@
     }
   }
 
-  private async _pause (): Promise<void> {
+  private async _waitForRetry (): Promise<void> {
     await new Promise<void>((resolve) => { this._timers.after(this._retryMs, resolve) })
   }
 }
--- a/src/scheduler/ownership/ShardSet.ts
+++ b/src/scheduler/ownership/ShardSet.ts
@@ -1,5 +1,5 @@
 /**
- * The shards that this process knows of, each with its ownership, kept up to date from the store's records.
+ * The shards that this process knows, each with its ownership, updated from the records in the store.
  */
 
 import { ok } from 'neverthrow'
@@ -21,8 +21,8 @@
   /** A planned release is under way. */
   releasing: boolean
   /**
-   * Its record can't be read. It is left alone until an operator has mended it: a takeover would start from epoch 1
-   * again, and hosts would take the commands of an owner long gone.
+   * The shard's record can't be decoded. The shard isn't taken over until an operator has repaired the record: a takeover
+   * would start from epoch 1 again, and hosts would accept commands of an owner that was replaced long ago.
    */
   damaged: boolean
 }
@@ -32,7 +32,7 @@
   readonly change: OwnershipChange
 }
 
-interface ISeenRecord {
+interface IObservedRecord {
   readonly record: IShardRecord | undefined
   readonly modRevision: number
 }
@@ -44,20 +44,20 @@
   private readonly _onDamaged = this._disposables.add(new Emitter<InvalidInputError>())
   public readonly onDamaged = this._onDamaged.event
   private readonly _shards = new Map<string, IKnownShard>()
-  /** Records of shards that nobody has told us of yet. */
-  private readonly _records = new Map<string, ISeenRecord>()
-  private readonly _damaged = new Set<string>()
+  /** Records of shards that have not been added yet. */
+  private readonly _pendingRecords = new Map<string, IObservedRecord>()
+  private readonly _damagedShardIds = new Set<string>()
 
-  public constructor (private readonly _newOwnership: (spec: IShardSpec) => ShardOwnership) {}
+  public constructor (private readonly _createOwnership: (spec: IShardSpec) => ShardOwnership) {}
 
-  /** Adds a shard if it isn't known. */
+  /** Adds a shard if it isn't known yet. */
   public add (spec: IShardSpec): void {
     if (this._shards.has(spec.shardId)) return
-    const damaged = this._damaged.has(spec.shardId)
-    const shard = { spec, ownership: this._newOwnership(spec), releasing: false, damaged }
+    const damaged = this._damagedShardIds.has(spec.shardId)
+    const shard = { spec, ownership: this._createOwnership(spec), releasing: false, damaged }
     this._shards.set(spec.shardId, shard)
-    const seen = this._records.get(spec.shardId)
-    if (seen !== undefined) this.apply(shard, shard.ownership.observe(seen.record, seen.modRevision))
+    const observed = this._pendingRecords.get(spec.shardId)
+    if (observed !== undefined) this.fireChange(shard, shard.ownership.observe(observed.record, observed.modRevision))
   }
 
   public get (shardId: string): IKnownShard | undefined {
@@ -72,19 +72,19 @@
     return this.all().filter(({ ownership }) => ownership.held)
   }
 
-  /** Takes in a record as the store gave it. */
-  public see (read: IStoreRecord, deleted: boolean): void {
+  /** Passes a record from the store to the ownership of its shard. */
+  public observeRecord (read: IStoreRecord, deleted: boolean): void {
     const shardId = read.key.slice(SHARD_PREFIX.length)
     const decoded: Result<IShardRecord | undefined, InvalidInputError> = deleted ? ok(undefined) : decodeShardRecord(read.key, read.value)
     this._setDamaged(shardId, decoded.isErr() ? decoded.error : undefined)
     if (decoded.isErr()) return
     const shard = this._shards.get(shardId)
-    if (shard === undefined) this._records.set(shardId, { record: decoded.value, modRevision: read.modRevision })
-    else this.apply(shard, shard.ownership.observe(decoded.value, read.modRevision))
+    if (shard === undefined) this._pendingRecords.set(shardId, { record: decoded.value, modRevision: read.modRevision })
+    else this.fireChange(shard, shard.ownership.observe(decoded.value, read.modRevision))
   }
 
-  /** Passes on what a step of a shard's ownership has brought about. */
-  public apply (shard: IKnownShard, change: OwnershipChange | undefined): void {
+  /** Fires `onChange` if a step of a shard's ownership has changed it. */
+  public fireChange (shard: IKnownShard, change: OwnershipChange | undefined): void {
     if (change !== undefined) this._onChange.fire({ shard, change })
   }
 
@@ -95,8 +95,8 @@
   private _setDamaged (shardId: string, error: InvalidInputError | undefined): void {
     const shard = this._shards.get(shardId)
     if (shard !== undefined) shard.damaged = error !== undefined
-    if (error === undefined) this._damaged.delete(shardId)
-    else this._damaged.add(shardId)
+    if (error === undefined) this._damagedShardIds.delete(shardId)
+    else this._damagedShardIds.add(shardId)
     if (error !== undefined) this._onDamaged.fire(error)
   }
 }
--- a/src/scheduler/ownership/SliceWriter.ts
+++ b/src/scheduler/ownership/SliceWriter.ts
@@ -1,15 +1,15 @@
 /**
- * Carries out what a `SliceLog` wants written, and tells those who wait how it went.
+ * Performs the writes of a `SliceLog` and reports the outcome to the callers that wait for their entries.
  *
- * Made for an outage of the store under a steady flow of claims: a claim that waited for a store timeout would
- * answer its caller seconds late, and the queue of waiters would grow. So waiters are let go after `patienceMs`,
- * and while the store is known not to answer (`available` is false) nothing is queued at all.
+ * During a store outage, claims keep arriving. A claim that waited for a store timeout would answer its caller seconds
+ * late, and the queue of waiting callers would grow. So callers wait `commitTimeoutMs` at most, and while the store is
+ * known not to answer (`available` is false), nothing is queued.
  */
 
 import { Emitter } from '../../common/Emitter.js'
 import { decodeHead } from '../../common/state/SliceCodec.js'
 import { headKey } from '../../common/state/SliceKeys.js'
-import { doWrite } from './StoreOutcome.js'
+import { performWrite } from './StoreOutcome.js'
 
 import type { SliceLog } from '../../common/state/SliceLog.js'
 import type { SliceProgress } from '../../common/state/SliceLogTypes.js'
@@ -18,26 +18,27 @@
 import type { IKeyValueStore } from '../../runtime/Types.js'
 
 export interface ISliceWriterOptions {
-  /** The least time between two commits, in milliseconds; asked before each, since it follows the fleet's size. */
+  /** The shortest time between two commits, in milliseconds; called before each commit, because it depends on the fleet's size. */
   readonly commitIntervalMs: () => number
-  /** How long an answer to a caller waits for one commit, in milliseconds. */
-  readonly patienceMs: number
-  /** Between tries while the store doesn't answer, in milliseconds. */
+  /** Longest time that an answer to a caller waits for one commit, in milliseconds. */
+  readonly commitTimeoutMs: number
+  /** Time between two tries while the store doesn't answer, in milliseconds. */
   readonly retryMs: number
 }
 
-/** `dropped`: without effect. `inDoubt`: it may still become durable. `lost`: another process owns the shard. */
+/** `dropped`: the entry has no effect. `inDoubt`: it may still become durable. `lost`: another process owns the shard. */
 export type AppendOutcome = 'durable' | 'dropped' | 'inDoubt' | 'lost'
 
 interface IWaiter {
-  readonly through: number
+  /** The number of appended entries that must have an outcome. */
+  readonly throughCount: number
   readonly settle: (outcome: AppendOutcome) => void
 }
 
 export interface ISliceCommit {
   readonly entries: readonly SliceEntry[]
-  /** Those who waited for them were told that they were in doubt. */
-  readonly late: boolean
+  /** The callers that waited for these entries were told `inDoubt` before the commit succeeded. */
+  readonly wasInDoubt: boolean
 }
 
 export class SliceWriter implements IDisposable {
@@ -49,15 +50,15 @@
   public readonly onLost = this._onLost.event
 
   private _waiters: IWaiter[] = []
-  private _appended = 0
-  private _settledThrough = 0
-  private _doubtThrough = 0
-  private _available = true
-  private _busy = false
-  private _closed = false
+  private _appendedCount = 0
+  private _settledCount = 0
+  private _inDoubtCount = 0
+  private _isAvailable = true
+  private _isWriting = false
+  private _isClosed = false
   private _lastWriteAtMs: MonotonicMs = -Infinity
   private _timer: IDisposable | undefined
-  private _patience: IDisposable | undefined
+  private _commitTimeout: IDisposable | undefined
 
   public constructor (
     private readonly _store: IKeyValueStore,
@@ -67,24 +68,24 @@
     private readonly _options: ISliceWriterOptions
   ) {}
 
-  /** False while the store doesn't answer or a commit is in doubt: refuse at once instead of queueing. */
+  /** False while the store doesn't answer or a commit is in doubt: refuse new entries immediately instead of queueing them. */
   public get available (): boolean {
-    return this._available && !this._closed
+    return this._isAvailable && !this._isClosed
   }
 
   public get log (): SliceLog {
     return this._log
   }
 
-  /** Queues an entry. False: it is larger than a commit may be. Wait for it with `durable`. */
+  /** Queues an entry; await `durable` for its outcome. False: the entry is larger than a commit may be. */
   public append (entry: SliceEntry): boolean {
     if (!this._log.append(entry)) return false
-    this._appended += 1
+    this._appendedCount += 1
     this._schedule()
     return true
   }
 
-  /** Starts compaction of a segment whose live jobs have been appended. */
+  /** Starts the compaction of a segment whose live jobs have been appended again. */
   public compact (segment: Parameters<SliceLog['compact']>[0]): void {
     this._log.compact(segment)
     this._schedule()
@@ -92,10 +93,10 @@
 
   /** Resolves when everything appended so far has an outcome. */
   public async durable (): Promise<AppendOutcome> {
-    if (this._closed) return 'lost'
-    if (this._appended === this._settledThrough) return 'durable'
+    if (this._isClosed) return 'lost'
+    if (this._appendedCount === this._settledCount) return 'durable'
     return await new Promise((resolve) => {
-      this._waiters.push({ through: this._appended, settle: resolve })
+      this._waiters.push({ throughCount: this._appendedCount, settle: resolve })
     })
   }
 
@@ -107,12 +108,12 @@
   }
 
   private _schedule (): void {
-    if (this._busy || this._closed || this._timer !== undefined) return
+    if (this._isWriting || this._isClosed || this._timer !== undefined) return
     const dueMs = this._lastWriteAtMs + this._options.commitIntervalMs()
-    this._after(Math.max(0, dueMs - this._clock.nowMs()), () => { this._start() })
+    this._setTimer(Math.max(0, dueMs - this._clock.nowMs()), () => { this._startWrite() })
   }
 
-  private _after (delayMs: number, run: () => void): void {
+  private _setTimer (delayMs: number, run: () => void): void {
     this._timer?.dispose()
     this._timer = this._clock.after(delayMs, () => {
       this._timer = undefined
@@ -120,26 +121,26 @@
     })
   }
 
-  private _start (): void {
+  private _startWrite (): void {
     const write = this._log.nextWrite()
-    if (write === undefined || this._closed) return
-    this._busy = true
+    if (write === undefined || this._isClosed) return
+    this._isWriting = true
     this._lastWriteAtMs = this._clock.nowMs()
-    this._patience ??= this._clock.after(this._options.patienceMs, () => { this._giveUpWaiting() })
-    this._do(write)
+    this._commitTimeout ??= this._clock.after(this._options.commitTimeoutMs, () => { this._releaseWaiters() })
+    this._performWrite(write)
   }
 
-  private async _do (write: IStoreWrite): Promise<void> {
-    const result = await doWrite(this._store, write)
-    if (this._closed) return
-    this._busy = false
-    const wasOk = result.outcome === 'ok' || result.outcome === 'conflict'
-    this._handle(this._log.report(result.outcome, result.modRevision), wasOk)
+  private async _performWrite (write: IStoreWrite): Promise<void> {
+    const result = await performWrite(this._store, write)
+    if (this._isClosed) return
+    this._isWriting = false
+    const hasAnswered = result.outcome === 'ok' || result.outcome === 'conflict'
+    this._handleProgress(this._log.report(result.outcome, result.modRevision), hasAnswered)
   }
 
-  private _handle (progress: SliceProgress, answered: boolean): void {
-    if (progress.type === 'committed') this._committed(progress.entries)
-    if (progress.type === 'dropped') this._dropped(progress.entries)
+  private _handleProgress (progress: SliceProgress, answered: boolean): void {
+    if (progress.type === 'committed') this._handleCommitted(progress.entries)
+    if (progress.type === 'dropped') this._handleDropped(progress.entries)
     if (progress.type === 'lost') {
       this._close()
       this._onLost.fire()
@@ -149,74 +150,74 @@
       this._readBack()
       return
     }
-    if (answered) this._resume()
-    else this._waitForStore()
+    if (answered) this._continueWriting()
+    else this._retryLater()
   }
 
-  /** The store answers: carry on with the next write. */
-  private _resume (): void {
+  /** Continues with the next write, now that the store answers. */
+  private _continueWriting (): void {
     if (!this._log.inDoubt) {
-      this._available = true
-      this._patience?.dispose()
-      this._patience = undefined
+      this._isAvailable = true
+      this._commitTimeout?.dispose()
+      this._commitTimeout = undefined
     }
     this._schedule()
   }
 
-  private _waitForStore (): void {
-    this._giveUpWaiting()
-    this._after(this._options.retryMs, () => { this._readBack() })
+  private _retryLater (): void {
+    this._releaseWaiters()
+    this._setTimer(this._options.retryMs, () => { this._readBack() })
   }
 
-  /** Reads the head: settles a doubt, shows whether the store answers again, and whether another owner has been there. */
+  /** Reads the head to find out whether the store answers again, whether a write in doubt took effect, and whether another owner has written. */
   private async _readBack (): Promise<void> {
-    this._busy = true
+    this._isWriting = true
     const read = await this._store.get(headKey(this._shardId))
-    if (this._closed) return
-    this._busy = false
+    if (this._isClosed) return
+    this._isWriting = false
     if (read.isErr()) {
-      this._waitForStore()
+      this._retryLater()
       return
     }
     const record = read.value
     const head = record === undefined ? undefined : decodeHead(record.key, record.value).unwrapOr(undefined)
-    this._handle(this._log.readBack(head, record?.modRevision ?? 0), true)
+    this._handleProgress(this._log.readBack(head, record?.modRevision ?? 0), true)
   }
 
-  private _committed (entries: readonly SliceEntry[]): void {
-    this._settledThrough += entries.length
-    const late = this._settledThrough <= this._doubtThrough
-    this._settle((waiter) => waiter.through <= this._settledThrough, 'durable')
-    this._onCommitted.fire({ entries, late })
+  private _handleCommitted (entries: readonly SliceEntry[]): void {
+    this._settledCount += entries.length
+    const wasInDoubt = this._settledCount <= this._inDoubtCount
+    this._settleWaiters((waiter) => waiter.throughCount <= this._settledCount, 'durable')
+    this._onCommitted.fire({ entries, wasInDoubt })
   }
 
-  private _dropped (entries: readonly SliceEntry[]): void {
-    this._appended -= entries.length
-    this._settle((waiter) => waiter.through > this._appended, 'dropped')
+  private _handleDropped (entries: readonly SliceEntry[]): void {
+    this._appendedCount -= entries.length
+    this._settleWaiters((waiter) => waiter.throughCount > this._appendedCount, 'dropped')
     this._onDropped.fire(entries)
   }
 
-  /** Lets those who wait go: what is in the write under way is in doubt, what is queued behind it goes for certain. */
-  private _giveUpWaiting (): void {
-    this._patience?.dispose()
-    this._patience = undefined
-    this._available = false
+  /** Gives all waiters an outcome: entries in the current write are in doubt, entries queued behind it are dropped. */
+  private _releaseWaiters (): void {
+    this._commitTimeout?.dispose()
+    this._commitTimeout = undefined
+    this._isAvailable = false
     const queued = this._log.dropQueued()
-    if (queued.length > 0) this._dropped(queued)
-    this._doubtThrough = this._appended
-    this._settle(() => true, 'inDoubt')
+    if (queued.length > 0) this._handleDropped(queued)
+    this._inDoubtCount = this._appendedCount
+    this._settleWaiters(() => true, 'inDoubt')
   }
 
-  private _settle (which: (waiter: IWaiter) => boolean, outcome: AppendOutcome): void {
-    const settled = this._waiters.filter(which)
-    this._waiters = this._waiters.filter((waiter) => !which(waiter))
+  private _settleWaiters (isSettled: (waiter: IWaiter) => boolean, outcome: AppendOutcome): void {
+    const settled = this._waiters.filter(isSettled)
+    this._waiters = this._waiters.filter((waiter) => !isSettled(waiter))
     for (const waiter of settled) waiter.settle(outcome)
   }
 
   private _close (): void {
-    this._closed = true
+    this._isClosed = true
     this._timer?.dispose()
-    this._patience?.dispose()
-    this._settle(() => true, 'lost')
+    this._commitTimeout?.dispose()
+    this._settleWaiters(() => true, 'lost')
   }
 }
--- a/src/scheduler/ownership/StoreOutcome.ts
+++ b/src/scheduler/ownership/StoreOutcome.ts
@@ -1,5 +1,5 @@
 /**
- * The store's answers in the terms of the classes that decide on them.
+ * Maps the store's answers to the write outcomes that the state machines take.
  */
 
 import { AmbiguousError, ConflictError } from '../../common/Errors.js'
@@ -10,7 +10,7 @@
 
 export interface IWriteResult {
   readonly outcome: WriteOutcome
-  /** The new revision after `ok`. */
+  /** The new revision if the outcome is `ok`, else 0. */
   readonly modRevision: number
   readonly error?: StoreError | ConflictError
 }
@@ -20,8 +20,8 @@
   return error instanceof AmbiguousError ? 'ambiguous' : 'nothing'
 }
 
-/** Does one compare-and-swap. */
-export async function doWrite (store: IKeyValueStore, write: IStoreWrite): Promise<IWriteResult> {
+/** Performs one compare-and-swap. */
+export async function performWrite (store: IKeyValueStore, write: IStoreWrite): Promise<IWriteResult> {
   const answer: ResultAsync<number, StoreError | ConflictError> = store.compareAndSwap(write.key, write.expectedModRevision, write.value)
   return await answer.match(
     (modRevision): IWriteResult => ({ outcome: 'ok', modRevision }),
