--- a/src/scheduler/ownership/Types.ts
+++ b/src/scheduler/ownership/Types.ts
@@ -1,28 +1,28 @@
 /**
- * What owning shards needs and tells.
+ * Options, events and callbacks of the ownership of shards.
  */
 
 import type { ShardKind } from '../../common/state/Types.js'
 
 export interface IShardOwnerOptions {
-  /** Between looks at what could be taken, in milliseconds; changes that the watch brings are looked at when they come. */
-  readonly evaluateMs: number
+  /** Time between two regular checks for shards to take over, in milliseconds; changes from the watch are checked when they arrive. */
+  readonly evaluationIntervalMs: number
   /**
-   * After an outage, how long others get to register again before their shards are taken, in milliseconds. Their
-   * leases may all have lapsed while the store was down, and everyone taking from everyone would empty every queue.
+   * Time after a store outage in which other members can register again before their shards are taken over, in
+   * milliseconds. All leases may have lapsed during the outage; takeovers of every shard would then empty every queue.
    */
   readonly graceAfterOutageMs: number
-  /** How long the members must have been the same before surplus shards are handed over, in milliseconds. */
+  /** Time that the set of members must stay unchanged before surplus shards are handed over, in milliseconds. */
   readonly rebalanceAfterMs: number
-  /** Takeovers that one process has under way at once: a lost failure domain must not cost a burst of writes. */
-  readonly maxTakesUnderWay: number
+  /** Most takeovers that one process runs at the same time: the loss of a failure domain must not cause a burst of writes. */
+  readonly maxConcurrentTakeovers: number
 }
 
 export const DEFAULT_SHARD_OWNER_OPTIONS: IShardOwnerOptions = {
-  evaluateMs: 500,
+  evaluationIntervalMs: 500,
   graceAfterOutageMs: 3_000,
   rebalanceAfterMs: 5_000,
-  maxTakesUnderWay: 4
+  maxConcurrentTakeovers: 4
 }
 
 export interface IShardAcquired {
@@ -34,14 +34,14 @@
 export interface IShardLost {
   readonly shardId: string
   readonly kind: ShardKind
-  /** The epoch that we held. */
+  /** The epoch that this process held. */
   readonly epoch: number
-  /** `released`: by ourselves, in good order. `taken`: another owner is on record or has fenced us. */
+  /** `released`: by this process, as planned. `taken`: another owner is on record or has fenced this process. */
   readonly reason: 'released' | 'taken'
 }
 
-/** What the owner of the shards' contents does before a planned release. */
-export interface IShardUser {
-  /** Stops taking new work for the shard and hands over what waits; the record is released when it resolves. */
+/** Prepares a shard for its planned release; implemented by the component that holds the shard's work. */
+export interface IShardReleaseHandler {
+  /** Stops new work for the shard and hands its queue over. The record is released once the promise resolves. */
   beforeRelease (shardId: string, epoch: number): Promise<void>
 }
--- a/src/scheduler/requests/AdoptedItem.ts
+++ b/src/scheduler/requests/AdoptedItem.ts
@@ -1,16 +1,16 @@
 /**
- * Stands in the engine for an attempt that an earlier owner of the shard dispatched and that still runs.
+ * Creates the engine item of an attempt that an earlier owner of the shard dispatched and that still runs.
  */
 
 import type { IProfile } from '../../common/config/Types.js'
 import type { IWorkItem } from '../../common/policy/Types.js'
 import type { MonotonicMs } from '../../common/Types.js'
 
-const ADOPTED = 'adopted'
+const ADOPTED_NAME = 'adopted'
 
-/** Counts against no caller's share: whose it is, only the earlier owner knew. */
+/** Counts against no caller's share, because only the earlier owner knew the caller. */
 const ADOPTED_PROFILE: IProfile = {
-  name: ADOPTED,
+  name: ADOPTED_NAME,
   priorityClass: 'normal',
   deadlineMs: 86_400_000,
   floorShare: 0,
@@ -28,9 +28,9 @@
 export function adoptedItem (itemId: string, nowMs: MonotonicMs): IWorkItem {
   return {
     id: itemId,
-    caller: ADOPTED,
-    service: ADOPTED,
-    team: ADOPTED,
+    caller: ADOPTED_NAME,
+    service: ADOPTED_NAME,
+    team: ADOPTED_NAME,
     profile: ADOPTED_PROFILE,
     resources: { cores: 1, memoryBytes: 0, accelerators: 0 },
     arrivedAtMs: nowMs,
--- a/src/scheduler/requests/QueueShifter.ts
+++ b/src/scheduler/requests/QueueShifter.ts
@@ -1,5 +1,5 @@
 /**
- * Gives queued requests back so that their gateways send them to a scheduler with room.
+ * Decides which queued requests are handed back, so that their gateways send them to a scheduler with free slots.
  */
 
 import { ShiftPolicy } from '../../common/policy/ShiftPolicy.js'
@@ -15,7 +15,7 @@
     this._policy = new ShiftPolicy(random)
   }
 
-  /** Takes another scheduler's newest summary. */
+  /** Stores another scheduler's newest load summary. */
   public noteSummary (summary: ILoadSummary): void {
     const { processId, region } = summary
     if (processId === this._self.processId) return
@@ -27,7 +27,7 @@
     this._policy.remove(processId)
   }
 
-  /** Whether a queued request is better off elsewhere; one that has been moved stays. */
+  /** Whether a queued request would start sooner at another scheduler; a request that has been moved before stays. */
   public shouldMove (item: IWorkItem, ownWaitMs: number, hops: number): boolean {
     const request = { item, ownRegion: this._self.region, ownWaitMs, hasMoved: hops > 0, nowMs: this._clock.nowMs() }
     return this._policy.choose(request) !== undefined
--- a/src/scheduler/requests/RequestClaims.test.ts
+++ b/src/scheduler/requests/RequestClaims.test.ts
@@ -1,5 +1,5 @@
 /**
- * What a scheduler asks of the owner of a claim.
+ * The claims and releases that a scheduler requests for non-idempotent requests.
  */
 
 import test from 'ava'
@@ -11,7 +11,7 @@
 import type { ClaimReply, IClaimRequest, ISubmitRequest } from '../../common/protocol/Types.js'
 import type { IRequestContext } from './Types.js'
 
-const ASK: ISubmitRequest = {
+const REQUEST: ISubmitRequest = {
   attemptId: 'a1',
   service: 'season-budget',
   caller: 'farm',
@@ -24,17 +24,19 @@
   hops: 0
 }
 
-function setUp (reply: ClaimReply): { readonly service: RequestService, readonly claimed: IClaimRequest[], readonly released: IClaimRequest[] } {
+function createService (
+  reply: ClaimReply
+): { readonly service: RequestService, readonly claimed: IClaimRequest[], readonly released: IClaimRequest[] } {
   const clock = new ManualClock()
   const claimed: IClaimRequest[] = []
   const released: IClaimRequest[] = []
   const claims = {
-    claim: async (ask: IClaimRequest) => {
-      claimed.push(ask)
+    claim: async (request: IClaimRequest) => {
+      claimed.push(request)
       return reply
     },
     release: async () => {},
-    releaseLater: (ask: IClaimRequest) => { released.push(ask) },
+    releaseLater: (request: IClaimRequest) => { released.push(request) },
     outcomeOf: async () => ({ outcome: 'unknown' as const })
   }
   const self = { processId: 's1', incarnation: 7, region: 'lakes-west', failureDomain: 'lakes-west-a' }
@@ -44,24 +46,24 @@
   return { service: new RequestService(context as unknown as IRequestContext), claimed, released }
 }
 
-test('a claim tells how old its request is', async (t) => {
-  // Claims are kept for a limited time. A request that has waited longer could claim an id that has run already; only
-  // its age shows that, and nobody could refuse it.
-  const { service, claimed } = setUp({ decision: 'blocked' })
-  t.like(await service.submit(ASK), { outcome: 'notRun' })
+test('a claim request carries the age of its request', async (t) => {
+  // Claims are kept for a limited time. A request that has waited longer could claim an id that has already run. The owner
+  // can refuse such a claim only by the age of its request.
+  const { service, claimed } = createService({ decision: 'blocked' })
+  t.like(await service.submit(REQUEST), { outcome: 'notRun' })
   t.like(claimed[0], { attemptId: 'a1', holder: 's1#7', ageMs: 4321 })
 })
 
 test('a claim that could not be stored is released', async (t) => {
-  // The store's answer was lost and the claim stands after all. The caller was told that nothing ran, and every repeat
-  // would be told of an attempt that never runs, until claims are forgotten.
-  const { service, claimed, released } = setUp({ decision: 'unavailable', retryAfterMs: 100 })
-  t.like(await service.submit(ASK), { outcome: 'refused', reason: 'storeUnavailable' })
+  // The store's answer was lost, but the claim is durable. The caller was told that nothing ran, and until the claim
+  // expires, every repeat would be referred to an attempt that never runs.
+  const { service, claimed, released } = createService({ decision: 'unavailable', retryAfterMs: 100 })
+  t.like(await service.submit(REQUEST), { outcome: 'refused', reason: 'storeUnavailable' })
   t.deepEqual(released, claimed)
 })
 
 test('a claim that another attempt holds is not released', async (t) => {
-  const { service, released } = setUp({ decision: 'duplicate', attemptId: 'a0', holder: 's2#1' })
-  await service.submit(ASK)
+  const { service, released } = createService({ decision: 'duplicate', attemptId: 'a0', holder: 's2#1' })
+  await service.submit(REQUEST)
   t.deepEqual(released, [])
 })
--- a/src/scheduler/requests/RequestService.test.ts
+++ b/src/scheduler/requests/RequestService.test.ts
@@ -1,5 +1,5 @@
 /**
- * A request's way through a scheduler: one truthful answer, whatever its runners and its claim do.
+ * Requests in a scheduler: each gets exactly one correct answer, whatever happens to its runners and its claim.
  */
 
 import test from 'ava'
@@ -35,7 +35,7 @@
 
 type RunResult = ReturnType<IRunnerClient['run']>
 
-function runner (hostId: string): IHostRecord {
+function runnerHost (hostId: string): IHostRecord {
   return {
     hostId,
     kind: 'runner',
@@ -50,7 +50,7 @@
   }
 }
 
-function replica (): ConfigReplica {
+function configReplica (): ConfigReplica {
   const config = new ConfigReplica()
   const entry = (kind: ConfigKind, value: NonNullable<IConfigEntry['value']>): IConfigEntry =>
     ({ kind, name: value.name, revision: 1, deleted: false, value, writer: 'w', nonce: 'n', changedAt: 0 })
@@ -63,16 +63,16 @@
   return config
 }
 
-/** One scheduler with two runners of a slot each; `answers` are what the runners say, one call after the other. */
+/** One scheduler and two runners with one slot each; `answers` are the runners' answers to the calls, in order. */
 class Fixture {
   public readonly clock = new ManualClock()
   public readonly calls: IRunnerCall[] = []
   public readonly released: string[] = []
   public readonly fenced: number[] = []
   public claimReply: ClaimReply = { decision: 'granted' }
-  /** How long the store takes for a claim. */
+  /** Time that the store takes for a claim, in milliseconds. */
   public claimMs = 0
-  /** What the runners say is running, by their own status. */
+  /** The attempts that the runners list as running in their status. */
   public running: readonly string[] = []
   public leaving = false
   public readonly service: RequestService
@@ -98,7 +98,7 @@
       confirm: async () => true
     }
     const common = { engine: this.engine, client, clock, timers: clock, log: new SilentLogger() }
-    const directory = { hosts: [runner('a'), runner('b')], onChange: new Emitter<readonly IHostRecord[]>().event }
+    const directory = { hosts: [runnerHost('a'), runnerHost('b')], onChange: new Emitter<readonly IHostRecord[]>().event }
     this._pool = new RunnerPool({ ...common, directory, shards, adoptedItem })
     const claims: IClaimClient = {
       claim: async () => {
@@ -112,7 +112,7 @@
     const hasher = new IdHasher((text) => text, (text) => text.length, 8)
     const bounds = { maxInFlight: 10, maxInFlightBytes }
     const random = new SeededRandom(1)
-    this.service = new RequestService({ ...common, self: SELF, runners: this._pool, claims, bounds, config: replica(), hasher, random })
+    this.service = new RequestService({ ...common, self: SELF, runners: this._pool, claims, bounds, config: configReplica(), hasher, random })
   }
 
   public async start (): Promise<this> {
@@ -121,7 +121,7 @@
     return this
   }
 
-  public async send (service: string, attemptId: string, more: Partial<ISubmitRequest> = {}): Promise<IFinalAnswer> {
+  public async send (service: string, attemptId: string, overrides: Partial<ISubmitRequest> = {}): Promise<IFinalAnswer> {
     const answer = this.service.submit({
       attemptId,
       service,
@@ -133,7 +133,7 @@
       body: Buffer.from('chip 7'),
       ageMs: 0,
       hops: 0,
-      ...more
+      ...overrides
     })
     await settle()
     this.clock.advance(0)
@@ -141,7 +141,7 @@
     return await answer
   }
 
-  public async pass (durationMs: number): Promise<void> {
+  public async advanceTime (durationMs: number): Promise<void> {
     for (let passedMs = 0; passedMs < durationMs; passedMs += 50) {
       this.clock.advance(50)
       await settle()
@@ -157,131 +157,133 @@
   return errAsync<IRunnerAnswer, UpstreamError>(new RefusedError('runner.run', 'a', message))
 }
 
-test('an answer comes back whole, with where and under which revision it was decided', async (t) => {
-  const cell = await new Fixture([]).start()
-  t.like(await cell.send('chip-lookup', 'x.1'), { outcome: 'done', status: 200, body: OK.body, region: 'lakes-west', profileRevision: 1 })
-  t.like(cell.calls[0], { fence: SHARD, attemptId: 'x.1', service: 'chip-lookup' })
+test('an answer comes back complete, with the region and the profile revision under which it was decided', async (t) => {
+  const fixture = await new Fixture([]).start()
+  t.like(await fixture.send('chip-lookup', 'x.1'), { outcome: 'done', status: 200, body: OK.body, region: 'lakes-west', profileRevision: 1 })
+  t.like(fixture.calls[0], { fence: SHARD, attemptId: 'x.1', service: 'chip-lookup' })
 })
 
-test('a cut call is tried again only when it is idempotent, and is never called "not run"', async (t) => {
-  // A runner's connection breaks after the request went out. It may have run there, so a broadcast that is sent again
-  // reaches the neighbours twice; and a caller who is told "not run" sends it again by hand.
-  const cell = await new Fixture([ambiguous(), okAsync(OK), ambiguous()]).start()
-  t.like(await cell.send('chip-lookup', 'x.1'), { outcome: 'done' })
-  t.is(cell.calls.length, 2)
-  await cell.pass(3000)
-  t.like(await cell.send('neighbour-broadcast', 'x.2'), { outcome: 'unknown', reason: 'upstreamCut' })
-  t.is(cell.calls.length, 3)
-  t.deepEqual(cell.released, [])
+test('a call that was cut off is retried only if it is idempotent, and is never answered as "not run"', async (t) => {
+  // The connection to a runner breaks after the request was sent. The request may have run, so a broadcast that is sent
+  // again reaches the neighbours twice, and a caller who is told "not run" sends it again by hand.
+  const fixture = await new Fixture([ambiguous(), okAsync(OK), ambiguous()]).start()
+  t.like(await fixture.send('chip-lookup', 'x.1'), { outcome: 'done' })
+  t.is(fixture.calls.length, 2)
+  await fixture.advanceTime(3000)
+  t.like(await fixture.send('neighbour-broadcast', 'x.2'), { outcome: 'unknown', reason: 'upstreamCut' })
+  t.is(fixture.calls.length, 3)
+  t.deepEqual(fixture.released, [])
 })
 
-test('an idempotent request that was cut and then found no place stays unknown', async (t) => {
-  // The first dispatch may have run. The second waits for a slot until the deadline; "not run" would be untrue.
-  const cell = await new Fixture([ambiguous(), refused('leaving'), refused('leaving'), refused('leaving'), refused('leaving')]).start()
-  cell.running = ['x.1']
-  const answer = cell.send('chip-lookup', 'x.1')
-  await cell.pass(2000)
+test('an idempotent request that was cut off and then found no slot stays unknown', async (t) => {
+  // The first dispatch may have run. The second waits for a slot until the deadline; "not run" would be wrong.
+  const fixture = await new Fixture([ambiguous(), refused('leaving'), refused('leaving'), refused('leaving'), refused('leaving')]).start()
+  fixture.running = ['x.1']
+  const answer = fixture.send('chip-lookup', 'x.1')
+  await fixture.advanceTime(2000)
   t.like(await answer, { outcome: 'unknown', reason: 'upstreamCut' })
 })
 
-test('the slot of a call without an end stays taken until the runner itself says that it is free', async (t) => {
-  // A call times out here and goes on at the runner. Its slot counted as free, the runner would get more than it can run.
-  const cell = await new Fixture([ambiguous(), ambiguous()]).start()
-  cell.running = ['x.1', 'x.2']
-  await cell.send('neighbour-broadcast', 'x.1')
-  await cell.send('neighbour-broadcast', 'x.2')
-  const third = cell.send('neighbour-broadcast', 'x.3', { remainingMs: 10_000 })
-  await cell.pass(2000)
-  t.is(cell.calls.length, 2)
-  cell.running = []
-  await cell.pass(2000)
+test('the slot of a call with an unknown end stays taken until the runner reports it free', async (t) => {
+  // A call times out here and still runs at the runner. If its slot counted as free, the runner would get more calls than
+  // it can run.
+  const fixture = await new Fixture([ambiguous(), ambiguous()]).start()
+  fixture.running = ['x.1', 'x.2']
+  await fixture.send('neighbour-broadcast', 'x.1')
+  await fixture.send('neighbour-broadcast', 'x.2')
+  const third = fixture.send('neighbour-broadcast', 'x.3', { remainingMs: 10_000 })
+  await fixture.advanceTime(2000)
+  t.is(fixture.calls.length, 2)
+  fixture.running = []
+  await fixture.advanceTime(2000)
   t.like(await third, { outcome: 'done' })
 })
 
-test('a refusal before it ran goes to another runner, and a newer epoch is reported', async (t) => {
+test('a request that a runner refuses goes to another runner, and a newer epoch is reported', async (t) => {
   const fenced = errAsync<IRunnerAnswer, UpstreamError>(new FencedError('runner.run', 'a', 9))
-  const cell = await new Fixture([refused('noSlot'), okAsync(OK), fenced, okAsync(OK)]).start()
-  t.like(await cell.send('neighbour-broadcast', 'x.1'), { outcome: 'done' })
-  t.like(await cell.send('neighbour-broadcast', 'x.2'), { outcome: 'done' })
-  t.deepEqual(cell.fenced, [9])
-  t.is(new Set(cell.calls.slice(0, 2).map((call) => call.attemptId)).size, 2)
+  const fixture = await new Fixture([refused('noSlot'), okAsync(OK), fenced, okAsync(OK)]).start()
+  t.like(await fixture.send('neighbour-broadcast', 'x.1'), { outcome: 'done' })
+  t.like(await fixture.send('neighbour-broadcast', 'x.2'), { outcome: 'done' })
+  t.deepEqual(fixture.fenced, [9])
+  t.is(new Set(fixture.calls.slice(0, 2).map((call) => call.attemptId)).size, 2)
 })
 
 test('without a claim nothing runs, and the answer says why', async (t) => {
   // The store is down, or the same id is already claimed by another attempt.
-  const cell = await new Fixture([]).start()
-  cell.claimReply = { decision: 'unavailable', retryAfterMs: 700 }
-  t.like(await cell.send('neighbour-broadcast', 'x.1'), { outcome: 'refused', reason: 'storeUnavailable', retryAfterMs: 700 })
-  cell.claimReply = { decision: 'blocked' }
-  t.like(await cell.send('neighbour-broadcast', 'x.2'), { outcome: 'notRun' })
-  cell.claimReply = { decision: 'duplicate', attemptId: 'y.1', holder: 's2#5' }
-  t.like(await cell.send('neighbour-broadcast', 'x.3'), { outcome: 'done', detail: 's2#5/y.1' })
-  t.is(cell.calls.length, 0)
+  const fixture = await new Fixture([]).start()
+  fixture.claimReply = { decision: 'unavailable', retryAfterMs: 700 }
+  t.like(await fixture.send('neighbour-broadcast', 'x.1'), { outcome: 'refused', reason: 'storeUnavailable', retryAfterMs: 700 })
+  fixture.claimReply = { decision: 'blocked' }
+  t.like(await fixture.send('neighbour-broadcast', 'x.2'), { outcome: 'notRun' })
+  fixture.claimReply = { decision: 'duplicate', attemptId: 'y.1', holder: 's2#5' }
+  t.like(await fixture.send('neighbour-broadcast', 'x.3'), { outcome: 'done', detail: 's2#5/y.1' })
+  t.is(fixture.calls.length, 0)
 })
 
-test('a holder answers for its attempts, and says unknown for those it does not know', async (t) => {
-  const cell = await new Fixture([]).start()
-  await cell.send('neighbour-broadcast', 'x.1')
-  t.like(await cell.service.outcomeOf('x.1', 10), { outcome: 'done', body: OK.body })
-  t.like(await cell.service.outcomeOf('x.9', 10), { outcome: 'unknown' })
+test('a holder returns the answers of its attempts, and unknown for attempts that it does not know', async (t) => {
+  const fixture = await new Fixture([]).start()
+  await fixture.send('neighbour-broadcast', 'x.1')
+  t.like(await fixture.service.outcomeOf('x.1', 10), { outcome: 'done', body: OK.body })
+  t.like(await fixture.service.outcomeOf('x.9', 10), { outcome: 'unknown' })
 })
 
-test('a stop hands queued requests back as not run, releases their claims, and waits for what runs', async (t) => {
-  // An operator replaces an entry host. What waits here goes to other schedulers; what a runner has begun gets its answer.
+test('a stop hands queued requests back as not run, releases their claims, and waits for running requests', async (t) => {
+  // An operator replaces a host with a scheduler. Requests that wait here go to other schedulers; requests that a runner
+  // has started still get their answers.
   let finish: (answer: IRunnerAnswer) => void = () => {}
   const end = new Promise<IRunnerAnswer>((resolve) => { finish = resolve })
   const slow = (): RunResult => ResultAsync.fromSafePromise<IRunnerAnswer, UpstreamError>(end)
-  const cell = await new Fixture([slow(), slow()]).start()
-  const [first, second] = [cell.send('neighbour-broadcast', 'x.1'), cell.send('neighbour-broadcast', 'x.2')]
-  const waiting = cell.send('neighbour-broadcast', 'x.3')
+  const fixture = await new Fixture([slow(), slow()]).start()
+  const [first, second] = [fixture.send('neighbour-broadcast', 'x.1'), fixture.send('neighbour-broadcast', 'x.2')]
+  const waiting = fixture.send('neighbour-broadcast', 'x.3')
   await settle()
-  const drained = cell.service.drain()
+  const drained = fixture.service.drain()
   t.like(await waiting, { outcome: 'notRun', reason: 'draining' })
-  t.deepEqual(cell.released, ['x.3'])
-  t.like(await cell.send('chip-lookup', 'x.4'), { outcome: 'refused', reason: 'draining' })
+  t.deepEqual(fixture.released, ['x.3'])
+  t.like(await fixture.send('chip-lookup', 'x.4'), { outcome: 'refused', reason: 'draining' })
   finish(OK)
-  await cell.pass(100)
+  await fixture.advanceTime(100)
   t.like(await first, { outcome: 'done' })
   t.like(await second, { outcome: 'done' })
-  await cell.pass(100)
+  await fixture.advanceTime(100)
   await drained
 })
 
-test('bodies over the bound are refused at once', async (t) => {
-  // Callers send large bodies faster than runners take them. Held without a bound they fill the memory, and the process
-  // dies with every request in it.
-  const cell = await new Fixture([ambiguous()], 100).start()
-  t.like(await cell.send('chip-lookup', 'x.1', { body: Buffer.alloc(101) }), { outcome: 'refused', reason: 'overloaded' })
+test('bodies over the bound are refused immediately', async (t) => {
+  // Callers send large bodies faster than runners take them. Without a bound they would fill the memory, and the process
+  // would die with all its requests.
+  const fixture = await new Fixture([ambiguous()], 100).start()
+  t.like(await fixture.send('chip-lookup', 'x.1', { body: Buffer.alloc(101) }), { outcome: 'refused', reason: 'overloaded' })
 })
 
-test('a queued request is handed back, once, when another scheduler of the region has room', async (t) => {
-  // A burst came before the others' summaries told of it. The queue is long here while a scheduler beside it idles.
-  const cell = await new Fixture([ambiguous(), ambiguous()]).start()
-  cell.running = ['x.1', 'x.2']
-  await cell.send('neighbour-broadcast', 'x.1')
-  await cell.send('neighbour-broadcast', 'x.2')
+test('a queued request is handed back, at most once, when another scheduler in the region has free slots', async (t) => {
+  // A burst arrives before the load summaries show it. The queue is long here while another scheduler is idle.
+  const fixture = await new Fixture([ambiguous(), ambiguous()]).start()
+  fixture.running = ['x.1', 'x.2']
+  await fixture.send('neighbour-broadcast', 'x.1')
+  await fixture.send('neighbour-broadcast', 'x.2')
   const shifter = { shouldMove: (_item: IWorkItem, _waitMs: number, hops: number) => hops === 0 } as unknown as QueueShifter
-  const moved = cell.send('neighbour-broadcast', 'x.3', { remainingMs: 10_000 })
-  const stays = cell.send('neighbour-broadcast', 'x.4', { remainingMs: 10_000, hops: 1 })
+  const moved = fixture.send('neighbour-broadcast', 'x.3', { remainingMs: 10_000 })
+  const stays = fixture.send('neighbour-broadcast', 'x.4', { remainingMs: 10_000, hops: 1 })
   await settle()
-  cell.service.shift(shifter)
+  fixture.service.shift(shifter)
   t.like(await moved, { outcome: 'notRun', reason: 'overloaded' })
-  cell.running = []
-  await cell.pass(2000)
+  fixture.running = []
+  await fixture.advanceTime(2000)
   t.like(await stays, { outcome: 'done' })
-  t.deepEqual(cell.released, ['x.3'])
+  t.deepEqual(fixture.released, ['x.3'])
 })
 
-test('the time that a claim takes counts as waiting, and towards the deadline', async (t) => {
-  // The store is slow. Counted from after the claim, a caller who gave a second would wait for longer, and the waits that
-  // operators see would leave out the slow part.
-  const cell = await new Fixture([]).start()
-  cell.claimMs = 400
-  const served = cell.send('neighbour-broadcast', 'x.1')
-  await cell.pass(500)
+test('the time that a claim takes counts as waiting time and towards the deadline', async (t) => {
+  // The store is slow. If the time counted only from the end of the claim, a request with a deadline of a second would take
+  // longer than that, and the waiting times that operators see would leave the claim out.
+  const fixture = await new Fixture([]).start()
+  fixture.claimMs = 400
+  const served = fixture.send('neighbour-broadcast', 'x.1')
+  await fixture.advanceTime(500)
   t.like(await served, { outcome: 'done', waitMs: 400 })
-  const late = cell.send('neighbour-broadcast', 'x.2', { remainingMs: 600 })
-  await cell.pass(500)
+  const late = fixture.send('neighbour-broadcast', 'x.2', { remainingMs: 600 })
+  await fixture.advanceTime(500)
   await late
-  t.is(cell.calls[1]?.timeoutMs, 200)
+  t.is(fixture.calls[1]?.timeoutMs, 200)
 })
--- a/src/scheduler/requests/RequestService.ts
+++ b/src/scheduler/requests/RequestService.ts
@@ -1,5 +1,5 @@
 /**
- * Takes requests from gateways, has the decision engine admit and place them, and answers each exactly once.
+ * Accepts requests from gateways, has the decision engine admit and place them, and answers each exactly once.
  */
 
 import { holderName } from '../../common/requests/ClaimHolder.js'
@@ -15,9 +15,9 @@
 import type { IArrival, IPendingRequest, IRequestContext } from './Types.js'
 
 const SLOT = { cores: 1, memoryBytes: 0, accelerators: 0 } as const
-/** A takeover of an id shard takes a few seconds; a caller who waits less gives up earlier by its deadline. */
+/** A takeover of an id shard takes a few seconds; a request with an earlier deadline stops waiting at its deadline. */
 const MAX_CLAIM_WAIT_MS = 3000
-/** When a peer or this process stops, others have taken over within about a second. */
+/** When a peer or this process stops, other schedulers take over within about a second. */
 const DRAINING_RETRY_MS = 200
 const UNKNOWN_SERVICE_RETRY_MS = 1000
 const OVERLOADED_RETRY_MS = 500
@@ -28,8 +28,8 @@
   private readonly _limit: InFlightLimit
   private readonly _dispatcher: Dispatcher
   private readonly _runnerProfiles = new WeakMap<IProfile, IProfile>()
-  private _wake: IDisposable | undefined
-  private _draining = false
+  private _wakeTimer: IDisposable | undefined
+  private _isDraining = false
 
   public constructor (private readonly _context: IRequestContext) {
     this._limit = new InFlightLimit(_context.bounds)
@@ -37,7 +37,7 @@
     this._dispatcher = new Dispatcher(_context, {
       onAnswer: (attemptId, answer) => this._finish(attemptId, answer),
       onRequeue: (item) => this._requeue(item),
-      onPlaceFree: () => this.pump()
+      onSlotFree: () => this.pump()
     })
     _context.runners.onChange(() => this.pump())
   }
@@ -46,57 +46,57 @@
     return this._pending.size
   }
 
-  /** The final answer of a request, as soon as it is known. */
-  public async submit (ask: ISubmitRequest): Promise<IFinalAnswer> {
-    const room = this._limit.take(ask.body.byteLength)
-    if (room.isErr()) return this._refused('overloaded', `too many ${room.error} in flight`, OVERLOADED_RETRY_MS)
+  /** Processes a request and resolves with its final answer. */
+  public async submit (request: ISubmitRequest): Promise<IFinalAnswer> {
+    const permit = this._limit.take(request.body.byteLength)
+    if (permit.isErr()) return this._refusedAnswer('overloaded', `too many ${permit.error} in flight`, OVERLOADED_RETRY_MS)
     try {
-      return await this._submit(ask)
+      return await this._submit(request)
     } finally {
-      room.value()
+      permit.value()
     }
   }
 
-  private async _submit (ask: ISubmitRequest): Promise<IFinalAnswer> {
-    const refusal = this._refuseEarly(ask)
+  private async _submit (request: ISubmitRequest): Promise<IFinalAnswer> {
+    const refusal = this._refuseEarly(request)
     if (refusal !== undefined) return refusal
-    const service = this._context.config.service(ask.service)
+    const service = this._context.config.service(request.service)
     const found = service === undefined ? undefined : this._context.config.profile(service.profile)
     if (service === undefined || found === undefined) {
-      return this._refused('internal', 'this service is not known here yet', UNKNOWN_SERVICE_RETRY_MS)
+      return this._refusedAnswer('internal', 'this scheduler does not know the service yet', UNKNOWN_SERVICE_RETRY_MS)
     }
     const arrivedAtMs = this._context.clock.nowMs()
     const { profile, revision: profileRevision } = found
-    const arrival = { ask, profile, profileRevision, team: service.team, arrivedAtMs, deadlineAtMs: arrivedAtMs + ask.remainingMs }
-    const answer = ask.idempotent ? await this._queue(arrival) : await this._claimAndQueue(arrival)
+    const arrival = { request, profile, profileRevision, team: service.team, arrivedAtMs, deadlineAtMs: arrivedAtMs + request.remainingMs }
+    const answer = request.idempotent ? await this._queueRequest(arrival) : await this._claimAndQueue(arrival)
     return { ...answer, region: this._context.self.region, profileRevision: answer.profileRevision ?? profileRevision }
   }
 
   /**
-   * Hands queued requests back that would start sooner elsewhere.
+   * Hands back queued requests that would start sooner at another scheduler.
    *
-   * Made for a scheduler that a burst reached before its summary did: its queue is long while others in the region have
-   * free slots, and requests that are queued already would wait there to their end. Each is moved once, and only so many
-   * at a time as the policy's picture of the others allows.
+   * If a burst arrives before the gateways have this scheduler's next load summary, its queue grows while other schedulers
+   * in the region have free slots, and the queued requests would wait here until they run or expire. Each request is moved
+   * at most once, and only as many at a time as the policy allows by the other schedulers' summaries.
    */
   public shift (shifter: QueueShifter): void {
     const load = this._context.engine.load()
     if (load.queued === 0) return
-    for (const [attemptId, { ask, item, earlierAnswer }] of [...this._pending]) {
-      // Once it may have run, handing it back would end it as unknown.
+    for (const [attemptId, { request, item, earlierAnswer }] of [...this._pending]) {
+      // A request that may have run would end as unknown if it were handed back.
       if (earlierAnswer !== undefined) continue
       const ownWaitMs = load.expectedWaitMs[item.profile.priorityClass]
-      if (!shifter.shouldMove(item, ownWaitMs, ask.hops) || this._context.engine.cancel(item.id) !== 'queued') continue
-      this._finish(attemptId, { outcome: 'notRun', reason: 'overloaded', detail: 'another scheduler has room', retryAfterMs: 0 })
+      if (!shifter.shouldMove(item, ownWaitMs, request.hops) || this._context.engine.cancel(item.id) !== 'queued') continue
+      this._finish(attemptId, { outcome: 'notRun', reason: 'overloaded', detail: 'another scheduler has free slots', retryAfterMs: 0 })
     }
   }
 
-  /** The answer of an attempt that this process holds, for a repeat of its id or a gateway that lost its link. */
+  /** The answer of an attempt that this process holds, for a repeated request or for a gateway whose link was lost. */
   public async outcomeOf (attemptId: string, waitMs: number): Promise<IFinalAnswer> {
     return await this._answers.outcomeOf(attemptId, waitMs)
   }
 
-  /** Takes a request out of the queue whose caller has gone; what already runs goes on. */
+  /** Removes a request from the queue because its caller has gone; a request that already runs continues. */
   public cancel (attemptId: string): boolean {
     const pending = this._pending.get(attemptId)
     if (pending === undefined || this._context.engine.cancel(pending.item.id) !== 'queued') return false
@@ -104,9 +104,9 @@
     return true
   }
 
-  /** Refuses new work, hands queued work back as not run (gateways try elsewhere) and waits for what runs. */
+  /** Refuses new requests, hands queued ones back as not run (gateways send them elsewhere), and waits for running ones. */
   public async drain (): Promise<void> {
-    this._draining = true
+    this._isDraining = true
     for (const [attemptId, pending] of [...this._pending]) {
       if (this._context.engine.cancel(pending.item.id) === 'queued') this._finish(attemptId, this._drainingAnswer('notRun'))
     }
@@ -115,7 +115,7 @@
     }
   }
 
-  /** Carries out what the engine decides, until it has nothing more to decide now. */
+  /** Carries out the engine's decisions until it has none left for now. */
   public pump (): void {
     for (let decision = this._context.engine.next(); decision !== undefined; decision = this._context.engine.next()) {
       this._carryOut(decision)
@@ -138,78 +138,78 @@
   }
 
   private _scheduleWake (): void {
-    this._wake?.dispose()
+    this._wakeTimer?.dispose()
     const delayMs = this._context.engine.nextWakeAtMs() - this._context.clock.nowMs()
-    this._wake = Number.isFinite(delayMs) ? this._context.timers.after(Math.max(0, delayMs), () => this.pump()) : undefined
+    this._wakeTimer = Number.isFinite(delayMs) ? this._context.timers.after(Math.max(0, delayMs), () => this.pump()) : undefined
   }
 
-  private _refuseEarly (ask: ISubmitRequest): IFinalAnswer | undefined {
-    if (this._draining) return this._drainingAnswer('refused')
-    if (ask.remainingMs <= 0) return { outcome: 'notRun', reason: 'deadline', retryAfterMs: 0 }
+  private _refuseEarly (request: ISubmitRequest): IFinalAnswer | undefined {
+    if (this._isDraining) return this._drainingAnswer('refused')
+    if (request.remainingMs <= 0) return { outcome: 'notRun', reason: 'deadline', retryAfterMs: 0 }
     return undefined
   }
 
   /**
-   * A non-idempotent request is dispatched only under a claim that is durable in the store. Without it, the same id
-   * sent through two gateways, or again after its scheduler died, would run twice: one sees a second broadcast.
+   * Dispatches a non-idempotent request only under a claim that is durable in the store. Without the claim, a request
+   * sent through two gateways, or again after its scheduler died, would run twice, for example as a second broadcast.
    */
   private async _claimAndQueue (arrival: IArrival): Promise<IFinalAnswer> {
-    const { ask } = arrival
-    this._answers.open(ask.attemptId)
-    const claim = this._claimRequest(ask)
-    const reply = await this._context.claims.claim(claim, Math.min(ask.remainingMs, MAX_CLAIM_WAIT_MS))
+    const { request } = arrival
+    this._answers.open(request.attemptId)
+    const claim = this._claimRequest(request)
+    const reply = await this._context.claims.claim(claim, Math.min(request.remainingMs, MAX_CLAIM_WAIT_MS))
     if (reply.decision === 'duplicate') {
-      return this._close(ask, await this._context.claims.outcomeOf(reply.holder, reply.attemptId, ask.remainingMs))
+      return this._closeAttempt(request, await this._context.claims.outcomeOf(reply.holder, reply.attemptId, request.remainingMs))
     }
-    // It may stand all the same, and would keep every repeat of the id from running.
+    // The claim may be durable all the same, and would keep every repeat of the request from running.
     if (reply.decision === 'unavailable') this._context.claims.releaseLater(claim)
-    if (reply.decision !== 'granted') return this._close(ask, this._claimRefused(reply))
-    const answer = await this._queue(arrival)
+    if (reply.decision !== 'granted') return this._closeAttempt(request, this._claimRefusedAnswer(reply))
+    const answer = await this._queueRequest(arrival)
     if (answer.outcome === 'notRun' || answer.outcome === 'refused') await this._context.claims.release(claim)
-    return this._close(ask, answer)
+    return this._closeAttempt(request, answer)
   }
 
-  private _close (ask: ISubmitRequest, answer: IFinalAnswer): IFinalAnswer {
-    this._answers.close(ask.attemptId, answer)
+  private _closeAttempt (request: ISubmitRequest, answer: IFinalAnswer): IFinalAnswer {
+    this._answers.close(request.attemptId, answer)
     return answer
   }
 
-  private _claimRefused (reply: { readonly decision: string, readonly retryAfterMs?: number }): IFinalAnswer {
+  private _claimRefusedAnswer (reply: { readonly decision: string, readonly retryAfterMs?: number }): IFinalAnswer {
     if (reply.decision === 'blocked') return { outcome: 'notRun', reason: 'linkLost', retryAfterMs: DRAINING_RETRY_MS }
-    return this._refused('storeUnavailable', 'claims of non-idempotent requests cannot be stored now', reply.retryAfterMs ?? DRAINING_RETRY_MS)
+    return this._refusedAnswer('storeUnavailable', 'claims of non-idempotent requests cannot be stored now', reply.retryAfterMs ?? DRAINING_RETRY_MS)
   }
 
-  private _claimRequest (ask: ISubmitRequest): IClaimRequest {
-    const claimKey = this._context.hasher.claimKey(ask.caller, ask.requestId)
+  private _claimRequest (request: ISubmitRequest): IClaimRequest {
+    const claimKey = this._context.hasher.claimKey(request.caller, request.requestId)
     const holder = holderName(this._context.self)
-    return { idShard: this._context.hasher.idShard(claimKey), claimKey, attemptId: ask.attemptId, holder, ageMs: ask.ageMs }
+    return { idShard: this._context.hasher.idShard(claimKey), claimKey, attemptId: request.attemptId, holder, ageMs: request.ageMs }
   }
 
-  private async _queue (arrival: IArrival): Promise<IFinalAnswer> {
+  private async _queueRequest (arrival: IArrival): Promise<IFinalAnswer> {
     const item = this._toItem(arrival)
     const decision = this._context.engine.admit(item)
-    if (!decision.admitted) return this._refused(decision.reason, decision.detail, decision.retryAfterMs)
+    if (!decision.admitted) return this._refusedAnswer(decision.reason, decision.detail, decision.retryAfterMs)
     return await new Promise<IFinalAnswer>((resolve) => {
-      this._pending.set(arrival.ask.attemptId, { ...arrival, item, answer: resolve })
+      this._pending.set(arrival.request.attemptId, { ...arrival, item, resolve })
       this.pump()
     })
   }
 
-  private _toItem ({ ask, profile, team, arrivedAtMs, deadlineAtMs }: IArrival): IWorkItem {
+  private _toItem ({ request, profile, team, arrivedAtMs, deadlineAtMs }: IArrival): IWorkItem {
     return {
-      id: ask.attemptId,
-      caller: ask.caller,
-      service: ask.service,
+      id: request.attemptId,
+      caller: request.caller,
+      service: request.service,
       team,
       profile: this._runnerProfile(profile),
       resources: SLOT,
       arrivedAtMs,
       deadlineAtMs,
-      idempotent: ask.idempotent
+      idempotent: request.idempotent
     }
   }
 
-  /** A call to a runner can't be stopped half-way, so it is never preempted, whatever its profile says of tasks. */
+  /** A call to a runner can't be stopped halfway, so it is never preempted, even if its profile allows preemption of tasks. */
   private _runnerProfile (profile: IProfile): IProfile {
     let derived = this._runnerProfiles.get(profile)
     if (derived === undefined) {
@@ -224,7 +224,7 @@
     const pending = this._pending.get(attemptId)
     if (pending === undefined) return
     pending.item = item
-    const decision = this._draining ? undefined : this._context.engine.admit(item)
+    const decision = this._isDraining ? undefined : this._context.engine.admit(item)
     if (decision === undefined) this._finish(attemptId, this._drainingAnswer('notRun'))
     else if (!decision.admitted) {
       this._finish(attemptId, { outcome: 'notRun', reason: decision.reason, detail: decision.detail, retryAfterMs: decision.retryAfterMs })
@@ -236,11 +236,11 @@
     const pending = this._pending.get(attemptId)
     if (pending === undefined) return
     this._pending.delete(attemptId)
-    const truthful = answer.outcome === 'notRun' ? pending.earlierAnswer ?? answer : answer
-    pending.answer({ ...truthful, profileRevision: pending.profileRevision })
+    const finalAnswer = answer.outcome === 'notRun' ? pending.earlierAnswer ?? answer : answer
+    pending.resolve({ ...finalAnswer, profileRevision: pending.profileRevision })
   }
 
-  private _refused (reason: OutcomeReason, detail: string, retryAfterMs: number): IFinalAnswer {
+  private _refusedAnswer (reason: OutcomeReason, detail: string, retryAfterMs: number): IFinalAnswer {
     return { outcome: 'refused', reason, detail, retryAfterMs }
   }
 
@@ -249,7 +249,7 @@
   }
 }
 
-/** Ends the attempt's part of an item id: a dispatch to a further host is `attemptId/2`. */
+/** Separates the attempt id from the number of the dispatch in an item id: the second dispatch is `attemptId/2`. */
 const DISPATCH_SEPARATOR = '/'
 
 function attemptOf (itemId: string): string {
--- a/src/scheduler/requests/Types.ts
+++ b/src/scheduler/requests/Types.ts
@@ -1,5 +1,5 @@
 /**
- * What the request path of a scheduler needs.
+ * Types of a scheduler's request path and the components that it uses.
  */
 
 import type { IConfigReplica, IProfile } from '../../common/config/Types.js'
@@ -12,15 +12,15 @@
 import type { IRunnerClient } from '../../runtime/Types.js'
 import type { RunnerPool } from '../hosts/RunnerPool.js'
 
-/** Asks the owner of a claim's id shard, wherever it is. */
+/** Sends calls about claims to the owner of the id shard, whichever process that is. */
 export interface IClaimClient {
-  /** Keeps asking through a change of owner, up to `timeoutMs`; then `unavailable`. */
-  claim (ask: IClaimRequest, timeoutMs: number): Promise<ClaimReply>
-  /** Best effort: a claim that is not released stays, and its holder answers repeats truthfully. */
-  release (ask: IClaimRequest): Promise<void>
-  /** Releases in the background what may be claimed, until the owner says that it is or the tries are used up. */
-  releaseLater (ask: IClaimRequest): void
-  /** The final answer of another attempt of the same id, from the process that holds it. */
+  /** Requests a claim and retries while the owner changes, up to `timeoutMs`; then answers `unavailable`. */
+  claim (request: IClaimRequest, timeoutMs: number): Promise<ClaimReply>
+  /** Releases a claim, best effort: if the release fails, the claim remains, and its holder answers repeats correctly. */
+  release (request: IClaimRequest): Promise<void>
+  /** Releases a claim that may exist in the background, until the owner confirms the release or the tries are used up. */
+  releaseLater (request: IClaimRequest): void
+  /** The final answer of another attempt of the same request, from the process that holds its claim. */
   outcomeOf (holder: string, attemptId: string, waitMs: number): Promise<IFinalAnswer>
 }
 
@@ -39,9 +39,9 @@
   readonly log: ILogger
 }
 
-/** A request with what was found for it. Times are by this process's monotonic clock, from its arrival here. */
+/** A request with its profile and team. Times are by this process's monotonic clock and count from the request's arrival here. */
 export interface IArrival {
-  readonly ask: ISubmitRequest
+  readonly request: ISubmitRequest
   readonly profile: IProfile
   readonly profileRevision: number
   readonly team: string
@@ -49,14 +49,14 @@
   readonly deadlineAtMs: MonotonicMs
 }
 
-/** A request that waits for its final answer. */
+/** A request without a final answer yet. */
 export interface IPendingRequest extends IArrival {
-  /** What stands for it in the engine; a dispatch to a further host is a new item. */
+  /** The request's item in the engine; each dispatch to a further host is a new item. */
   item: IWorkItem
   /**
-   * The answer of an earlier dispatch that ran or may have run. Once there is one, "not run" is no longer true,
-   * whatever becomes of later dispatches: a caller who was told so would find that the work had happened.
+   * The answer of an earlier dispatch that ran or may have run. Once it is set, the request must not be answered as "not
+   * run", however later dispatches end, because the work may have been done.
    */
   earlierAnswer?: IFinalAnswer
-  readonly answer: (answer: IFinalAnswer) => void
+  readonly resolve: (answer: IFinalAnswer) => void
 }
