--- a/bench/cellLoad.ts
+++ b/bench/cellLoad.ts
@@ -10,7 +10,7 @@
 
 import type { Row } from '../src/operator/Table.js'
 import type { Job, QueueTerms } from '../src/common/cell/Job.js'
-import type { IAdviceAsk, IRunRef, IStepSpec } from '../src/common/cell/Types.js'
+import type { IAdviceRequest, IRunRef, IStepSpec } from '../src/common/cell/Types.js'
 import type { IRandom } from '../src/common/Types.js'
 
 /** One kind of job. Its rates are those of a cell of `REFERENCE_HOSTS` hosts. */
@@ -122,7 +122,7 @@
     hosts,
     adviceMachines: Math.max(MIN_MACHINES, Math.round(hosts / HOSTS_A_MACHINE)),
     host: { ...HOST, workMs: ({ jobId, step }: IRunRef) => workMs.get(`${jobId}.${step}`) ?? MS_PER_S },
-    allows: (hostId, { jobId, step }: IAdviceAsk) => hash(`${hostId} ${jobId} ${step}`) < (loadOf.get(jobId)?.allowedShare ?? 1),
+    allows: (hostId, { jobId, step }: IAdviceRequest) => hash(`${hostId} ${jobId} ${step}`) < (loadOf.get(jobId)?.allowedShare ?? 1),
     adviceMs: ({ jobId, hostIds }) => {
       const advice = loadOf.get(jobId)?.queue.advice
       return advice === undefined ? 0 : advice.baseMs + advice.perHostMs * hostIds.length
--- a/spec/GangSpec.ts
+++ b/spec/GangSpec.ts
@@ -7,10 +7,10 @@
  */
 
 import { GangReservation } from '../src/common/state/GangReservation.js'
-import { HeldTries } from '../src/common/state/HeldTries.js'
+import { TryFence } from '../src/common/state/TryFence.js'
 
 import type { GangCommand, IGangSnapshot } from '../src/common/state/GangReservation.js'
-import type { IHeldTriesSnapshot } from '../src/common/state/HeldTries.js'
+import type { ITryFenceSnapshot } from '../src/common/state/TryFence.js'
 import type { IPlaceTask } from '../src/common/protocol/Types.js'
 import type { ISpec, ISpecEvent } from './Model.js'
 
@@ -41,7 +41,7 @@
   taskId: string
   started: boolean
   /** Which try of each job is acted on here. */
-  guard: IHeldTriesSnapshot
+  guard: ITryFenceSnapshot
   /** More than fits. */
   over: boolean
 }
@@ -83,7 +83,7 @@
   const { tries } = state.jobs[job]
   const gang = new GangReservation(tries, tasksOf(job), SCHEDULERS, OPTIONS, state.jobs[job])
   run(gang)
-  const commands = gang.commands(1)
+  const commands = gang.nextCommands(1)
   const { phase } = gang
   state.jobs[job] = { ...gang.snapshot(), tries }
   if (phase === 'givingBack' && mutant === 'hold-and-wait') keepAndWait(state, job)
@@ -117,8 +117,8 @@
   state.commands.push({ job, type, scheduler, place: placeOf(job, scheduler, mutant), tryNumber, taskIds, stray: false })
 }
 
-function guarded<T> (place: IPlaceState, run: (guard: HeldTries) => T): T {
-  const guard = new HeldTries(place.guard)
+function guarded<T> (place: IPlaceState, run: (guard: TryFence) => T): T {
+  const guard = new TryFence(place.guard)
   const result = run(guard)
   place.guard = guard.snapshot()
   return result
@@ -158,9 +158,9 @@
 function hear (state: IGangState, command: ICommand, answer: readonly string[] | boolean, mutant: string | undefined): void {
   const { job, scheduler, type } = command
   act(state, job, (gang) => {
-    if (type === 'reserve') gang.reserved(scheduler, answer as readonly string[])
-    if (type === 'start') gang.started(scheduler, answer === true)
-    if (type === 'giveBack') gang.gaveBack(scheduler)
+    if (type === 'reserve') gang.reportReserved(scheduler, answer as readonly string[])
+    if (type === 'start') gang.reportStarted(scheduler, answer === true)
+    if (type === 'giveBack') gang.reportGivenBack(scheduler)
   }, mutant)
 }
 
@@ -168,9 +168,9 @@
 function hearNothing (state: IGangState, command: ICommand, mutant: string | undefined): void {
   state.faults += 1
   act(state, command.job, (gang) => {
-    if (command.type === 'reserve') gang.failed()
-    if (command.type === 'start') gang.started(command.scheduler, false)
-    if (command.type === 'giveBack') gang.giveBackFailed(command.scheduler)
+    if (command.type === 'reserve') gang.reportFailed()
+    if (command.type === 'start') gang.reportStarted(command.scheduler, false)
+    if (command.type === 'giveBack') gang.reportGiveBackFailed(command.scheduler)
   }, mutant)
 }
 
--- a/spec/JobSpec.ts
+++ b/spec/JobSpec.ts
@@ -84,7 +84,7 @@
   const owner = state.owners[command.by]
   if (mayStart(state, command, mutant)) {
     scheduler.running = true
-    guarded(scheduler, (guard) => { guard.noteHeld(TASK, command.attempt) })
+    guarded(scheduler, (guard) => { guard.recordHeld(TASK, command.attempt) })
   }
   const present = !command.stray && owner.attempt === command.attempt && scheduler.guard.owners[ID_SHARD]?.epoch === owner.epoch
   if (answered && present) hear(owner, scheduler.running ? 'running' : 'idle')
@@ -112,7 +112,7 @@
   state.ends += 1
   scheduler.running = false
   const owner = guarded(scheduler, (guard) => {
-    guard.noteGone(TASK, guard.heldAttempt(TASK) ?? 0)
+    guard.recordGone(TASK, guard.heldAttempt(TASK) ?? 0)
     return guard.ownerOf(ID_SHARD) as OwnerName
   })
   if (state.owners[owner].at === name) hear(state.owners[owner], 'idle')
--- a/spec/LeaseSpec.ts
+++ b/spec/LeaseSpec.ts
@@ -76,7 +76,7 @@
   const owner = state.owners[name]
   const expiresHostMs = act(owner, (leases) => leases.expiryFor(state.localMs), mutant)
   if (expiresHostMs === undefined) return
-  if (mutant !== 'count-answered-only') act(owner, (leases) => { leases.noteSent(TASK, ATTEMPT, expiresHostMs) })
+  if (mutant !== 'count-answered-only') act(owner, (leases) => { leases.recordSent(TASK, ATTEMPT, expiresHostMs) })
   owner.renewals += 1
   state.messages.push({ by: name, epoch: owner.epoch, expiresHostMs, sentAtMs: state.localMs, start: owner.renewals === 1 && name === 'a' })
 }
@@ -98,8 +98,8 @@
   if (mutant === 'count-on-own-clock') owner.heardAtMs = state.localMs
   const clock = { hostMs: state.hostMs, sentAtMs: message.sentAtMs, receivedAtMs: state.localMs }
   const reports = isAlive(state) || state.over ? [{ taskId: TASK, attempt: ATTEMPT, running: isAlive(state) }] : []
-  act(owner, (leases) => { leases.noteList(clock, reports) }, mutant)
-  if (mutant === 'count-answered-only') act(owner, (leases) => { leases.noteSent(TASK, ATTEMPT, state.hostMs + LEASE_MS) })
+  act(owner, (leases) => { leases.recordList(clock, reports) }, mutant)
+  if (mutant === 'count-answered-only') act(owner, (leases) => { leases.recordSent(TASK, ATTEMPT, state.hostMs + LEASE_MS) })
 }
 
 /** Attempt 2 starts elsewhere. From here on only what is on its way to the host matters. */
@@ -118,12 +118,12 @@
   state.hostEpoch = owner.epoch
   const clock = { hostMs: state.hostMs, sentAtMs: state.localMs, receivedAtMs: state.localMs }
   const reports = isAlive(state) ? [{ taskId: TASK, attempt: ATTEMPT, running: true }] : []
-  act(owner, (leases) => { leases.noteFenced(clock, reports) })
+  act(owner, (leases) => { leases.recordFence(clock, reports) })
 }
 
 function wantsToConfirm (state: ILeaseState, owner: IOwnerState, mutant: string | undefined): boolean {
   if (owner.fencedOff || owner.renewals === 0) return false
-  return act(owner, (leases) => leases.nextAttempt(TASK, ATTEMPT, state.localMs), mutant) === 'unconfirmed'
+  return act(owner, (leases) => leases.decideNextAttempt(TASK, ATTEMPT, state.localMs), mutant) === 'unconfirmed'
 }
 
 /** Reads the shard's record. */
@@ -132,7 +132,7 @@
     owner.fencedOff = true
     return
   }
-  act(owner, (leases) => { leases.noteConfirmed(state.localMs) })
+  act(owner, (leases) => { leases.recordConfirmation(state.localMs) })
   const sentEarly = owner.leases.attempts.every(([, attempt]) => attempt.expiresHostMs < MAX_LOCAL_MS * MAX_DRIFT)
   state.stuck = state.localMs === MAX_LOCAL_MS && sentEarly && owner.renewals > 0 && !mayStartNext(state, 'a', mutant)
 }
@@ -144,7 +144,7 @@
   if (mutant === 'place-unfenced' && name === 'b' && !owner.leases.fenced) return state.localMs > LEASE_MS
   // The first owner has started the attempt itself; before that there is nothing to follow.
   if (name === 'a' && owner.renewals === 0) return false
-  const answer = act(owner, (leases) => leases.nextAttempt(TASK, ATTEMPT, state.localMs), mutant)
+  const answer = act(owner, (leases) => leases.decideNextAttempt(TASK, ATTEMPT, state.localMs), mutant)
   if (mutant === 'only-the-host-says') return answer === 'ended'
   return answer === 'ended' || answer === 'lapsed' || (answer === 'unconfirmed' && mutant === 'no-confirmation')
 }
--- a/spec/OwnershipSpec.ts
+++ b/spec/OwnershipSpec.ts
@@ -64,7 +64,7 @@
   const ownership = open(name, process)
   const result = run(ownership)
   process.ownership = ownership.snapshot()
-  if (!ownership.held) process.ledger = null
+  if (!ownership.isHeld) process.ledger = null
   return result
 }
 
@@ -116,12 +116,12 @@
   const process = state.processes[name]
   act(name, process, (ownership) => {
     if (ownership.epoch < state.hostEpoch) {
-      ownership.fenced(state.hostEpoch)
+      ownership.reportFenced(state.hostEpoch)
       return
     }
     state.hostEpoch = ownership.epoch
     process.ledger = mutant === 'no-listing' ? 0 : state.hostRunning
-    ownership.ready(ownership.epoch)
+    ownership.markReady(ownership.epoch)
   })
 }
 
@@ -136,7 +136,7 @@
   const command = state.commands.shift()
   if (command === undefined) return
   if (command.epoch < state.hostEpoch && mutant !== 'no-fencing') {
-    act(command.by, state.processes[command.by], (ownership) => ownership.fenced(state.hostEpoch))
+    act(command.by, state.processes[command.by], (ownership) => ownership.reportFenced(state.hostEpoch))
     return
   }
   state.hostEpoch = Math.max(state.hostEpoch, command.epoch)
@@ -151,21 +151,21 @@
   if (fault === undefined) {
     const { outcome, modRevision } = swap(state, write, mutant)
     const taken = mutant === 'no-read-back' && outcome === 'conflict' ? 'nothing' : outcome
-    act(name, process, (ownership) => ownership.wrote(write, taken, modRevision))
+    act(name, process, (ownership) => ownership.reportWrite(write, taken, modRevision))
     return
   }
   state.faults += 1
   if (fault === 'answerLost') swap(state, write, mutant)
   else process.stray = write
   const outcome = OUTCOME_BY_MUTANT[mutant ?? ''] ?? 'ambiguous'
-  act(name, process, (ownership) => ownership.wrote(write, outcome, write.expectedModRevision + 1))
+  act(name, process, (ownership) => ownership.reportWrite(write, outcome, write.expectedModRevision + 1))
 }
 
 function applyBy (state: IOwnershipState, name: Name, event: string, mutant: string | undefined): void {
   const process = state.processes[name]
   const [type, fault] = event.split(':')
-  if (type === 'take') write(state, name, act(name, process, (ownership) => ownership.take()), fault, mutant)
-  if (type === 'release') write(state, name, act(name, process, (ownership) => ownership.release()), fault, mutant)
+  if (type === 'take') write(state, name, act(name, process, (ownership) => ownership.startTakeover()), fault, mutant)
+  if (type === 'release') write(state, name, act(name, process, (ownership) => ownership.startRelease()), fault, mutant)
   if (type === 'repeat') write(state, name, open(name, process).pendingWrite, fault, mutant)
   if (type === 'strayArrives' && process.stray !== null) {
     swap(state, process.stray, mutant)
--- a/src/cell/CellOwner.test.ts
+++ b/src/cell/CellOwner.test.ts
@@ -5,7 +5,7 @@
 import test from 'ava'
 import { ManualClock } from '../common/Clock.js'
 import { Emitter } from '../common/Emitter.js'
-import { EMPTY_STEP, encodeJob } from '../common/cell/JobRecord.js'
+import { DEFAULT_STEP, encodeJob } from '../common/cell/JobRecord.js'
 import { Counters } from '../common/observability/Counters.js'
 import { LatencyTable } from '../common/observability/LatencyTable.js'
 import { SilentLogger } from '../common/observability/SilentLogger.js'
@@ -24,7 +24,7 @@
 const SUBMISSION = {
   jobId: JOB_ID,
   queue: QUEUE.name,
-  record: encodeJob({ jobId: JOB_ID, description: '', occurrences: 0, steps: [{ ...EMPTY_STEP, count: 1, cpuMillicores: 1, estimateMs: 100 }] }),
+  record: encodeJob({ jobId: JOB_ID, description: '', occurrences: 0, steps: [{ ...DEFAULT_STEP, count: 1, cpuMillicores: 1, estimateMs: 100 }] }),
   ageMs: 0,
   configVersion: 1
 }
--- a/src/cell/CellOwner.ts
+++ b/src/cell/CellOwner.ts
@@ -5,8 +5,8 @@
 
 import { Job } from '../common/cell/Job.js'
 import { CellScheduler } from '../common/cell/CellScheduler.js'
-import { decodeJob, termsOf } from '../common/cell/JobRecord.js'
-import type { IAdviceSender } from '../common/cell/AdviceDesk.js'
+import { decodeJob, queueTermsOf } from '../common/cell/JobRecord.js'
+import type { IAdviceSender } from '../common/cell/AdviceDispatcher.js'
 import type {
   CancelOutcome, ICellOwnerPort, IHostOrders, IMetadataStore, OwnerAnswer, StateOutcome, SubmitOutcome
 } from '../common/cell/Types.js'
@@ -101,11 +101,11 @@
       },
       stop: async (host, ref) => await orders.stop(host, ref, _fence),
       stopUnknown: async (host, ref) => await orders.stop(host, ref, _fence),
-      noteFenced: (hostId) => { this._onFenced(hostId) },
+      onFenced: (hostId) => { this._onFenced(hostId) },
       machines: () => advice.machines(),
       send: async (machine, ask, timeoutMs) => await advice.send(machine, ask, timeoutMs),
       requestPass: () => { this._requestPass() },
-      noteTime: (name, ms) => { _context.times.record(name, ms) },
+      recordDuration: (name, ms) => { _context.times.record(name, ms) },
       count: (name, kind) => { _context.counters.add(name, kind) }
     }, { farFactor: _options.farFactor, inheritedUntilMs: clock.nowMs() + inheritedMs }, chart, clock, log)
     this._hosts = new HostSessions({
@@ -135,7 +135,7 @@
   public async state (jobId: string): Promise<StateOutcome> {
     await this.ready
     const job = this._scheduler.jobs.get(jobId)
-    if (job !== undefined) return { kind: 'known', phase: job.shownPhase }
+    if (job !== undefined) return { kind: 'known', phase: job.reportedPhase }
     return this._hasAllJobs ? { kind: 'unknownJob' } : { kind: 'unavailable', reason: 'another process may own the cell' }
   }
 
@@ -158,7 +158,7 @@
 
   public async waiting (queue: string): Promise<number | undefined> {
     await this.ready
-    return this._isDisposed ? undefined : this._scheduler.waiting(queue)
+    return this._isDisposed ? undefined : this._scheduler.countWaiting(queue)
   }
 
   /**
@@ -206,11 +206,11 @@
     const queue = config.queue(submission.queue)
     if (queue === undefined) return { kind: 'noQueue' }
     if (jobStore.isStoreUnavailable) return this._refuseWithoutStore(jobId, 'the store is away')
-    const job = new Job(decodeJob(submission.record), termsOf(queue), clock.nowMs() - submission.ageMs)
+    const job = new Job(decodeJob(submission.record), queueTermsOf(queue), clock.nowMs() - submission.ageMs)
     const infeasibleReason = this._infeasibleReason(job)
     if (infeasibleReason !== undefined) return this._refuse(jobId, infeasibleReason, INFEASIBLE_RETRY_AFTER_MS)
     const accepted = jobStore.accept(job)
-    this._scheduler.consider(job)
+    this._scheduler.addPending(job)
     const outcome = await accepted
     if (outcome.kind !== 'stored') {
       this._scheduler.withdraw(job)
@@ -306,13 +306,13 @@
 
   private _updateQueueTerms (job: Job): void {
     const queue = job.isFinished ? undefined : this._context.config.queue(job.queue.name)
-    if (queue !== undefined) job.queue = termsOf(queue)
+    if (queue !== undefined) job.queue = queueTermsOf(queue)
   }
 
   private _removeExpiredJobs (): void {
     const finishedBeforeMs = this._context.clock.nowMs() - this._options.statusMs - STATUS_SLACK_MS
     for (const [jobId, job] of this._scheduler.jobs) {
-      if (job.finishedAtMs === undefined || job.finishedAtMs > finishedBeforeMs || job.steps.some((step) => !step.isQuiet)) continue
+      if (job.finishedAtMs === undefined || job.finishedAtMs > finishedBeforeMs || job.steps.some((step) => !step.hasNoRuns)) continue
       this._scheduler.jobs.delete(jobId)
       this._store?.remove(jobId)
     }
@@ -325,7 +325,7 @@
       this._isPassDue = false
       if (this._isDisposed) return
       const passStartedAtMs = this._context.clock.nowMs()
-      this._scheduler.pass()
+      this._scheduler.runPass()
       this._lastPassMs = this._context.clock.nowMs() - passStartedAtMs
     })
   }
--- a/src/cell/Handover.ts
+++ b/src/cell/Handover.ts
@@ -8,7 +8,7 @@
 
 import { chooseSuccessor } from '../common/cell/Successor.js'
 
-import type { IOffer } from '../common/cell/Successor.js'
+import type { ISuccessorOffer } from '../common/cell/Successor.js'
 import type { ICellOfferReply } from '../common/protocol/Types.js'
 import type { ILogger } from '../common/observability/Types.js'
 import type { IPeerHandlers, IPeerHub, IPeerLink } from '../peer/Types.js'
@@ -47,7 +47,7 @@
 /** Asks a peer whether it is willing to be the next owner; a peer that doesn't answer isn't. */
 export async function requestOffer (
   link: IPeerLink, record: IOwnerRecord, ask: 'cellOffer' | 'cellRelief' = 'cellOffer', timeoutMs = OFFER_TIMEOUT_MS
-): Promise<IOffer> {
+): Promise<ISuccessorOffer> {
   const { processId, incarnation } = link.peer
   const reply = await link.call(ask, record, timeoutMs)
   return reply.isOk() ? { processId, incarnation, ...reply.value } : { processId, incarnation, peerUrl: '', isWilling: false, yieldMs: 0 }
--- a/src/cell/HostSessions.ts
+++ b/src/cell/HostSessions.ts
@@ -124,7 +124,7 @@
     const session = new HostSession(host, {
       hold: async (entry, order, signal) => await orders.hold(entry, { ...order, fence: this._fence }, signal),
       holdUntilMs: () => this._context.holdUntilMs(),
-      onHeld: (held, answer, sentAtMs) => { if (!this._isDisposed) scheduler.readHold(held, answer, sentAtMs) },
+      onHeld: (held, answer, sentAtMs) => { if (!this._isDisposed) scheduler.applyHoldAnswer(held, answer, sentAtMs) },
       onFenced: (held) => { this._context.onFenced(held.hostId) },
       onFailure: (silent) => scheduler.noteSilence(silent)
     }, this._maxHoldMs, clock, log)
--- a/src/cell/JobStore.test.ts
+++ b/src/cell/JobStore.test.ts
@@ -4,7 +4,7 @@
 
 import test from 'ava'
 import { Job } from '../common/cell/Job.js'
-import { EMPTY_STEP } from '../common/cell/JobRecord.js'
+import { DEFAULT_STEP } from '../common/cell/JobRecord.js'
 import { ManualClock } from '../common/Clock.js'
 import { SilentLogger } from '../common/observability/SilentLogger.js'
 import { settle } from '../../test/support/advance.js'
@@ -36,7 +36,7 @@
   let jobs = 0
   const job = (): Job => {
     jobs += 1
-    const spec = { jobId: jobs.toString(16).padStart(16, '0'), description: '', occurrences: 0, steps: [{ ...EMPTY_STEP, count: 1 }] }
+    const spec = { jobId: jobs.toString(16).padStart(16, '0'), description: '', occurrences: 0, steps: [{ ...DEFAULT_STEP, count: 1 }] }
     return new Job(spec, QUEUE, clock.nowMs())
   }
   return { clock, store, run, job, transactions }
--- a/src/cell/JobStore.ts
+++ b/src/cell/JobStore.ts
@@ -147,7 +147,7 @@
    * owner reads all records before it serves requests, and most of them belong to finished jobs.
    */
   private _canRemoveDescription (job: Job): boolean {
-    return job.acceptance === 'stored' && job.isFinished && !this._jobsWithoutDescription.has(job.spec.jobId) && job.steps.every((step) => step.isQuiet)
+    return job.acceptance === 'stored' && job.isFinished && !this._jobsWithoutDescription.has(job.spec.jobId) && job.steps.every((step) => step.hasNoRuns)
   }
 
   public remove (jobId: string): void {
--- a/src/cell/OwnerCalls.ts
+++ b/src/cell/OwnerCalls.ts
@@ -2,14 +2,14 @@
  * Handlers for calls of peers to this process: as the owner of the cell, and as a machine that asks for advice.
  */
 
-import type { IAdviser, OwnerAnswer } from '../common/cell/Types.js'
+import type { IAdviceService, OwnerAnswer } from '../common/cell/Types.js'
 import { UnreachableError } from '../common/Errors.js'
 import type { ICellSubmitReply } from '../common/protocol/Types.js'
 import type { IPeerHandlers } from '../peer/Types.js'
 import type { ILocalOwner } from './OwnerRoute.js'
 
 /** Registers the handlers; `owner` returns the owner while it is this process. */
-export function answerPeers (hub: IPeerHandlers, owner: () => ILocalOwner | undefined, adviser: IAdviser): void {
+export function answerPeers (hub: IPeerHandlers, owner: () => ILocalOwner | undefined, adviser: IAdviceService): void {
   hub.handle('cellSubmit', async (ask) => {
     return toSubmitReply(await (await awaitReadyOwner(owner, 'cellSubmit')).submit(ask))
   })
--- a/src/cell/OwnerRelief.ts
+++ b/src/cell/OwnerRelief.ts
@@ -12,7 +12,7 @@
 import { requestOffer, requestTakeover } from './Handover.js'
 import { RENEW_INTERVAL_MS } from './Ownership.js'
 
-import type { IOffer } from '../common/cell/Successor.js'
+import type { ISuccessorOffer } from '../common/cell/Successor.js'
 import type { ILogger } from '../common/observability/Types.js'
 import type { IClock, IDisposable, ITimers, MonotonicMs } from '../common/Types.js'
 import type { IPeerHub } from '../peer/Types.js'
@@ -73,8 +73,8 @@
   }
 
   /** Returns the peers' answers that arrive until shortly after the first offer of a peer that reaches the store. */
-  private async _collectOffers (): Promise<readonly IOffer[]> {
-    const offers: IOffer[] = []
+  private async _collectOffers (): Promise<readonly ISuccessorOffer[]> {
+    const offers: ISuccessorOffer[] = []
     const firstWilling = new Promise<void>((resolve) => {
       for (const link of this._hub.links()) {
         requestOffer(link, this._record, 'cellRelief', OFFER_TIMEOUT_MS).then((offer) => {
--- a/src/common/cell/AdviceDesk.test.ts
+++ b/src/common/cell/AdviceDispatcher.test.ts
@@ -5,7 +5,7 @@
 import test from 'ava'
 import { setImmediate } from 'node:timers/promises'
 import { ManualClock } from '../Clock.js'
-import { AdviceDesk } from './AdviceDesk.js'
+import { AdviceDispatcher } from './AdviceDispatcher.js'
 
 import type { AdviceOutcome } from './Types.js'
 
@@ -17,7 +17,7 @@
 
 function createDispatcher () {
   const sent: { readonly machine: string, readonly jobId: string, readonly answer: (outcome: AdviceOutcome) => void }[] = []
-  const dispatcher = new AdviceDesk({
+  const dispatcher = new AdviceDispatcher({
     machines: () => MACHINES,
     send: async (machine, { jobId }) => await new Promise((resolve) => { sent.push({ machine, jobId, answer: resolve }) })
   }, new ManualClock())
--- a/src/common/cell/AdviceDesk.ts
+++ b/src/common/cell/AdviceDispatcher.ts
@@ -8,9 +8,9 @@
  */
 
 import type { IClock, MonotonicMs } from '../Types.js'
-import type { AdviceOutcome, IAdviceAsk } from './Types.js'
+import type { AdviceOutcome, IAdviceRequest } from './Types.js'
 
-export interface IAdviceCall extends IAdviceAsk {
+export interface IAdviceCall extends IAdviceRequest {
   readonly priority: number
   readonly dueMs: number
   /** How long the service needs for it, in ms. */
@@ -30,7 +30,7 @@
 
 export interface IAdviceSender {
   machines (): readonly IAdviceMachine[]
-  send (machine: string, ask: IAdviceAsk, timeoutMs: number): Promise<AdviceOutcome>
+  send (machine: string, ask: IAdviceRequest, timeoutMs: number): Promise<AdviceOutcome>
 }
 
 /** A call that takes longer than this counts as slow, in ms: others would wait behind it for too long, given an objective of half a second. */
@@ -47,7 +47,7 @@
   short: number
 }
 
-export class AdviceDesk {
+export class AdviceDispatcher {
   private readonly _loads = new Map<string, IMachineLoad>()
   private _waiting: IAdviceCall[] = []
 
--- a/src/common/cell/AdviceSeeker.ts
+++ b/src/common/cell/AdviceRequester.ts
@@ -3,14 +3,14 @@
  * suffice.
  */
 
-import { AdviceDesk, isSlowCall } from './AdviceDesk.js'
-import { AllowedShares, splitIntoCalls, hostsNotAsked, hostsToAsk } from './AdviceReach.js'
+import { AdviceDispatcher, isSlowCall } from './AdviceDispatcher.js'
+import { AllowedShares, splitIntoCalls, hostsNotAsked, hostsToAsk } from './AdviceHosts.js'
 import { allowedHosts } from './Placement.js'
 import { StepAdvice } from './StepAdvice.js'
 
 import type { ILogger } from '../observability/Types.js'
 import type { IClock, MonotonicMs } from '../Types.js'
-import type { IAdviceSender } from './AdviceDesk.js'
+import type { IAdviceSender } from './AdviceDispatcher.js'
 import type { HostState } from './HostState.js'
 import type { Step } from './Job.js'
 import type { AdviceOutcome, ITicket } from './Types.js'
@@ -18,7 +18,7 @@
 export interface IAdviceEffects extends IAdviceSender {
   /** Requests a scheduling pass soon. */
   requestPass (): void
-  noteTime (name: string, ms: number): void
+  recordDuration (name: string, ms: number): void
   count (name: string, kind: string): void
 }
 
@@ -29,9 +29,9 @@
 /** A step that has found no room on its allowed hosts for this long asks for more hosts, in ms: two calls of the slowest kind. */
 const WIDEN_AFTER_MS = 2000
 
-export class AdviceSeeker {
+export class AdviceRequester {
   private readonly _shares = new AllowedShares()
-  private readonly _dispatcher: AdviceDesk
+  private readonly _dispatcher: AdviceDispatcher
 
   public constructor (
     private readonly _hosts: ReadonlyMap<string, HostState>,
@@ -39,7 +39,7 @@
     private readonly _clock: IClock,
     private readonly _log: ILogger
   ) {
-    this._dispatcher = new AdviceDesk(_effects, _clock)
+    this._dispatcher = new AdviceDispatcher(_effects, _clock)
   }
 
   /** The number of calls that wait for a machine that may make them. */
@@ -141,7 +141,7 @@
       advice.recordAnswer(hostIds, outcome.allowed, validUntilMs, (hostId) => this._hosts.get(hostId)?.bornMs)
     }
     const waitMs = Math.round(nowMs - advice.askedAtMs)
-    this._effects.noteTime('wait_for_advice', waitMs)
+    this._effects.recordDuration('wait_for_advice', waitMs)
     this._effects.count('advice', outcome.kind)
     const allowed = outcome.kind === 'advised' ? outcome.allowed.length : undefined
     this._log.info('advice.answered', { requestId: job.spec.jobId, step: String(step.number), outcome: outcome.kind, allowed, hosts: hostIds.length, waitMs })
--- a/src/common/cell/Attempt.ts
+++ b/src/common/cell/Attempt.ts
@@ -77,7 +77,7 @@
 
   /** Applies an event to the state chart. Returns false and changes nothing if the present phase has no transition for it. */
   public transition (event: AttemptEvent): boolean {
-    if (!this._chart.takes(this._phase, event)) return false
+    if (!this._chart.hasTransition(this._phase, event)) return false
     this._phase = this._chart.next(this._phase, event) as AttemptPhase
     return true
   }
--- a/src/common/cell/GangRoom.test.ts
+++ b/src/common/cell/CapacityReservations.test.ts
@@ -45,10 +45,10 @@
   await cell.run(400)
   const timely = cell.submit([wide], { stretch: 1, targetMs: 3000 })
   await cell.run(4100)
-  t.is(timely.shownPhase, 'completed')
-  t.not(late.shownPhase, 'completed')
+  t.is(timely.reportedPhase, 'completed')
+  t.not(late.reportedPhase, 'completed')
   await cell.run(2500)
-  t.is(late.shownPhase, 'completed')
+  t.is(late.reportedPhase, 'completed')
 })
 
 test('work that can still meet its objective does not wait for a gang that can\'t', async (t) => {
@@ -64,9 +64,9 @@
   await cell.run(1000)
   t.false(narrow.hasStarted)
   await cell.run(2400)
-  t.is(narrow.shownPhase, 'completed')
+  t.is(narrow.reportedPhase, 'completed')
   await cell.run(4000)
-  t.is(late.shownPhase, 'completed')
+  t.is(late.reportedPhase, 'completed')
 })
 
 test('late work is done eventually, however much work arrives that isn\'t late yet', async (t) => {
@@ -87,6 +87,6 @@
   const cell = new SimulatedCell({ hosts: 6 })
   const gang = cell.submit([{ count: 6, cpuMillicores: 8000, gang: true }])
   await cell.run(3000)
-  t.is(gang.shownPhase, 'completed')
+  t.is(gang.reportedPhase, 'completed')
   t.is(cell.hosts.reduce((sum, host) => sum + host.stops, 0), 0)
 })
--- a/src/common/cell/GangRoom.ts
+++ b/src/common/cell/CapacityReservations.ts
@@ -13,8 +13,8 @@
 import type { Step } from './Job.js'
 import { eligibleHosts } from './Placement.js'
 import type { IPlacementView } from './Placement.js'
-import { NO_RESOURCES, addResources, resourcesOf } from './Room.js'
-import type { IResources } from './Room.js'
+import { NO_RESOURCES, addResources, resourcesOf } from './Resources.js'
+import type { IResources } from './Resources.js'
 
 /** Capacity that becomes free later than this, in ms, is not reserved: about the run time of the longest usual tasks. */
 const HORIZON_MS = 5000
@@ -32,7 +32,7 @@
   readonly waitMs: number
 }
 
-export class GangRoom {
+export class CapacityReservations {
   private readonly _reserved = new Map<HostState, IResources>()
   private readonly _reservedForLate = new Map<HostState, IResources>()
   private _leftMillicores: number
--- a/src/common/cell/CellScheduler.test.ts
+++ b/src/common/cell/CellScheduler.test.ts
@@ -10,10 +10,10 @@
   const cell = new SimulatedCell({ hosts: 2 })
   const job = cell.submit([{ count: 4 }, { count: 2, after: [0] }])
   await cell.run(800)
-  t.is(job.shownPhase, 'running')
+  t.is(job.reportedPhase, 'running')
   t.is(job.steps[1]?.tasks.filter((task) => task.lastRun > 0).length, 0)
   await cell.run(3000)
-  t.is(job.shownPhase, 'completed')
+  t.is(job.reportedPhase, 'completed')
   t.is(cell.hosts.flatMap((host) => host.started).length, 6)
 })
 
@@ -26,10 +26,10 @@
   cell.isStoreDown = true
   await cell.run(2000)
   t.is(job.phase, 'completed')
-  t.is(job.shownPhase, 'running')
+  t.is(job.reportedPhase, 'running')
   cell.isStoreDown = false
   await cell.run(200)
-  t.is(job.shownPhase, 'completed')
+  t.is(job.reportedPhase, 'completed')
 })
 
 test('work behind a gang that can never fit continues', async (t) => {
@@ -41,7 +41,7 @@
   await cell.run(300)
   const behind = cell.submit([{ count: 2 }], { advice, priority: 2 })
   await cell.run(3000)
-  t.is(behind.shownPhase, 'completed')
+  t.is(behind.reportedPhase, 'completed')
 })
 
 test('a waiting gang gets its capacity although narrow work keeps arriving', async (t) => {
@@ -57,7 +57,7 @@
   }
   t.true(gang.hasStarted)
   await cell.run(2000)
-  t.is(gang.shownPhase, 'completed')
+  t.is(gang.reportedPhase, 'completed')
 })
 
 test('after the owner has died, its successor starts nothing twice and loses nothing', async (t) => {
@@ -68,7 +68,7 @@
   await cell.run(700)
   cell.takeOver()
   await cell.run(6000)
-  for (const { spec } of jobs) t.is(cell.job(spec.jobId).shownPhase, 'completed')
+  for (const { spec } of jobs) t.is(cell.job(spec.jobId).reportedPhase, 'completed')
   t.is(cell.mostRunsOfOneTask, 1)
   t.is(cell.hosts.flatMap((host) => host.started).length, 24)
 })
@@ -97,7 +97,7 @@
   await cell.run(3000)
   cell.host(0).carryOutLate()
   await cell.run(4000)
-  for (const job of jobs) t.is(job.shownPhase, 'completed')
+  for (const job of jobs) t.is(job.reportedPhase, 'completed')
   t.is(cell.mostRunsOfOneTask, 1)
   t.true(cell.mostOverCapacity <= 0)
 })
@@ -127,7 +127,7 @@
   cell.host(0).isStuck = true
   const jobs = Array.from({ length: 4 }, () => cell.submit([{ count: 2, maxPerHost: 1 }], { priority: 0 }))
   await cell.run(9000)
-  for (const job of jobs) t.is(job.shownPhase, 'completed')
+  for (const job of jobs) t.is(job.reportedPhase, 'completed')
   t.is(cell.mostRunsOfOneTask, 1)
 })
 
@@ -142,8 +142,8 @@
     await cell.run(100)
   }
   await cell.run(8000)
-  t.is(jobs.filter((job) => job.shownPhase === 'failed').length, 0)
-  t.is(jobs.filter((job) => job.shownPhase === 'completed').length, 40)
+  t.is(jobs.filter((job) => job.reportedPhase === 'failed').length, 0)
+  t.is(jobs.filter((job) => job.reportedPhase === 'completed').length, 40)
 })
 
 test('a job fails after as many failed runs as its queue allows, and no run is started after that', async (t) => {
@@ -151,7 +151,7 @@
   const cell = new SimulatedCell({ hosts: 3, host: { endOf: () => 'failed' } })
   const job = cell.submit([{}], { maxAttempts: 3 })
   await cell.run(15_000)
-  t.is(job.shownPhase, 'failed')
+  t.is(job.reportedPhase, 'failed')
   t.is(cell.hosts.flatMap((host) => host.started).length, 3)
 })
 
@@ -174,7 +174,7 @@
   cell.scheduler.stopJob(job)
   await cell.run(1000)
   t.is(cell.hosts.reduce((sum, host) => sum + host.running.size, 0), 0)
-  t.true(job.steps.every((step) => step.isQuiet))
+  t.true(job.steps.every((step) => step.hasNoRuns))
 })
 
 test('a run whose ticket expired while it was recorded gets a new one', async (t) => {
@@ -185,8 +185,8 @@
   const job = cell.submit([{ count: 3 }], { advice })
   const gang = cell.submit([{ count: 2, gang: true }], { advice })
   await cell.run(6000)
-  t.is(job.shownPhase, 'completed')
-  t.is(gang.shownPhase, 'completed')
+  t.is(job.reportedPhase, 'completed')
+  t.is(gang.reportedPhase, 'completed')
 })
 
 test('no order carries a ticket that expired before the answer with it arrived', async (t) => {
@@ -196,8 +196,8 @@
   const gang = cell.submit([{ count: 2, gang: true }], { advice })
   await cell.run(8000)
   t.is(cell.staleTickets, 0)
-  t.is(job.shownPhase, 'completed')
-  t.is(gang.shownPhase, 'completed')
+  t.is(job.reportedPhase, 'completed')
+  t.is(gang.reportedPhase, 'completed')
 })
 
 test('a gang of which one member gets no ticket is dropped as a whole and tried again', async (t) => {
@@ -216,7 +216,7 @@
   const gang = cell.submit([{ count: 3, cpuMillicores: 6000, gang: true }], { advice })
   await cell.run(8000)
   t.true(calls > 2)
-  t.is(gang.shownPhase, 'completed')
+  t.is(gang.reportedPhase, 'completed')
 })
 
 test('a gang in a large cell that is three quarters full starts after one round of advice', async (t) => {
--- a/src/common/cell/CellScheduler.ts
+++ b/src/common/cell/CellScheduler.ts
@@ -6,18 +6,18 @@
 import type { ILogger } from '../observability/Types.js'
 import type { ChartTable } from '../state/ChartTable.js'
 import type { IClock, MonotonicMs } from '../Types.js'
-import { AdviceSeeker, expectedAdviceMs } from './AdviceSeeker.js'
-import type { IAdviceEffects } from './AdviceSeeker.js'
+import { AdviceRequester, expectedAdviceMs } from './AdviceRequester.js'
+import type { IAdviceEffects } from './AdviceRequester.js'
 import { Attempt } from './Attempt.js'
-import { GangRoom } from './GangRoom.js'
-import { HoldReader } from './HoldReader.js'
+import { CapacityReservations } from './CapacityReservations.js'
+import { HoldAnswerHandler } from './HoldAnswerHandler.js'
 import { HostSpeeds } from './HostSpeeds.js'
 import { HostState } from './HostState.js'
 import type { Job, Step } from './Job.js'
 import type { IRecordedRun } from './JobRecord.js'
 import { planGang, planTasks, urgentHeadroom } from './Placement.js'
 import type { IPlacement, IPlacementView } from './Placement.js'
-import { addResources } from './Room.js'
+import { addResources } from './Resources.js'
 import { RunController } from './RunController.js'
 import type { IRunEffects } from './RunController.js'
 import { StalledRuns } from './StalledRuns.js'
@@ -52,10 +52,10 @@
   private readonly _openJobs = new Set<Job>()
   private readonly _speeds = new HostSpeeds()
   private readonly _runController: RunController
-  private readonly _holdHandler: HoldReader
-  private readonly _advice: AdviceSeeker
+  private readonly _holdHandler: HoldAnswerHandler
+  private readonly _advice: AdviceRequester
   private readonly _stalled: StalledRuns
-  private _lastReservations: GangRoom | undefined
+  private _lastReservations: CapacityReservations | undefined
 
   public constructor (
     private readonly _effects: ICellEffects,
@@ -69,20 +69,20 @@
       save: async (job) => { await _effects.save(job) },
       start: async (host, order) => await _effects.start(host, order),
       stop: async (host, ref) => await _effects.stop(host, ref),
-      noteFenced: (hostId) => { _effects.noteFenced(hostId) },
+      onFenced: (hostId) => { _effects.onFenced(hostId) },
       requestTickets: (step) => { this._requestTickets(step) },
       onStarted: (job, waitedMs) => {
         _effects.count('starts', job.queue.name)
-        _effects.noteTime('wait_for_start', waitedMs)
+        _effects.recordDuration('wait_for_start', waitedMs)
       },
       onChange
     }, _chart, _clock, _log)
-    this._holdHandler = new HoldReader(this._runController, this._speeds, {
+    this._holdHandler = new HoldAnswerHandler(this._runController, this._speeds, {
       save: async (job) => { await _effects.save(job) },
       count: (name, kind) => { _effects.count(name, kind) },
       stopUnknown: async (host, ref) => await _effects.stopUnknown(host.entry, ref)
     }, _clock, _log)
-    this._advice = new AdviceSeeker(this.hosts, _effects, _clock, _log)
+    this._advice = new AdviceRequester(this.hosts, _effects, _clock, _log)
     this._stalled = new StalledRuns(this._runController, _clock, _log)
   }
 
@@ -106,7 +106,7 @@
    * no run is ordered before the job and the runs are both stored. Writing one after the other would take twice as long, which is
    * a large part of an urgent job's time if the store is slow.
    */
-  public consider (job: Job): void {
+  public addPending (job: Job): void {
     this._openJobs.add(job)
     this._effects.requestPass()
   }
@@ -143,7 +143,7 @@
     return host
   }
 
-  public readHold (host: HostState, answer: IHoldAnswer, sentAtMs: MonotonicMs): void {
+  public applyHoldAnswer (host: HostState, answer: IHoldAnswer, sentAtMs: MonotonicMs): void {
     this._holdHandler.applyAnswer(host, answer, sentAtMs)
     this._effects.requestPass()
   }
@@ -156,7 +156,7 @@
   }
 
   /** The number of accepted jobs of the queue that have not started. */
-  public waiting (queue: string): number {
+  public countWaiting (queue: string): number {
     let count = 0
     for (const job of this._openJobs) if (job.acceptance === 'stored' && job.queue.name === queue && !job.hasStarted) count += 1
     return count
@@ -178,9 +178,9 @@
   }
 
   /** Places every task that can be placed now, the most urgent first. */
-  public pass (): void {
+  public runPass (): void {
     const nowMs = this._clock.nowMs()
-    const reservations = new GangRoom(this.hosts.values())
+    const reservations = new CapacityReservations(this.hosts.values())
     const view: IPlacementView = {
       nowMs,
       hosts: this.hosts,
@@ -240,7 +240,7 @@
 
   private _placeGang (step: Step, view: IPlacementView): boolean {
     // All runs of the previous attempt must be gone, or one of the gang's tasks could run twice.
-    if (!step.isQuiet || step.tasks.some((task) => task.notBeforeMs > view.nowMs)) return true
+    if (!step.hasNoRuns || step.tasks.some((task) => task.notBeforeMs > view.nowMs)) return true
     const plan = planGang(step, view)
     if (plan === undefined) return false
     this._prepareRuns(step, plan)
@@ -248,7 +248,7 @@
   }
 
   /** Reserves capacity for a waiting gang, and renews its tickets so that they are valid when that capacity becomes free. */
-  private _reserveForGang (step: Step, reservations: GangRoom, view: IPlacementView): void {
+  private _reserveForGang (step: Step, reservations: CapacityReservations, view: IPlacementView): void {
     const reservation = reservations.reserve(step, view, isLate(step.job, view.nowMs))
     const { advice } = step
     if (reservation === undefined || advice === undefined || step.job.queue.advice === undefined) return
--- a/src/common/cell/HoldReader.ts
+++ b/src/common/cell/HoldAnswerHandler.ts
@@ -14,18 +14,18 @@
 import type { RunController } from './RunController.js'
 import type { IEndRow, IHoldAnswer, IRunRef, StopOutcome } from './Types.js'
 
-export interface IHoldReaderEffects {
+export interface IHoldAnswerEffects {
   save (job: Job): Promise<void>
   count (name: string, kind: string): void
   /** Stops a run that this owner doesn't know. */
   stopUnknown (host: HostState, ref: IRunRef): Promise<StopOutcome>
 }
 
-export class HoldReader {
+export class HoldAnswerHandler {
   public constructor (
     private readonly _runs: RunController,
     private readonly _speeds: HostSpeeds,
-    private readonly _effects: IHoldReaderEffects,
+    private readonly _effects: IHoldAnswerEffects,
     private readonly _clock: IClock,
     private readonly _log: ILogger
   ) {}
--- a/src/common/cell/HostForecast.ts
+++ b/src/common/cell/HostForecast.ts
@@ -5,8 +5,8 @@
 import type { MonotonicMs } from '../Types.js'
 import type { Attempt } from './Attempt.js'
 import type { HostState } from './HostState.js'
-import { countPlaces, addResources, resourcesOf } from './Room.js'
-import type { IResources } from './Room.js'
+import { countPlaces, addResources, resourcesOf } from './Resources.js'
+import type { IResources } from './Resources.js'
 import type { IStepSpec } from './Types.js'
 
 /** The progress of a run is used once the run has lasted for this long, in ms; hosts report it once a second. */
--- a/src/common/cell/HostSpeeds.test.ts
+++ b/src/common/cell/HostSpeeds.test.ts
@@ -45,7 +45,7 @@
   const cell = new SimulatedCell({ hosts: 6 })
   const jobs = await load(cell, 6000, 200)
   await cell.run(1500)
-  t.is(jobs.filter((job) => job.shownPhase === 'completed').length, jobs.length)
+  t.is(jobs.filter((job) => job.reportedPhase === 'completed').length, jobs.length)
   t.true(cell.hosts.every((host) => host.started.length > 5))
 })
 
--- a/src/common/cell/HostState.ts
+++ b/src/common/cell/HostState.ts
@@ -5,8 +5,8 @@
 
 import type { EpochMs, MonotonicMs } from '../Types.js'
 import type { Attempt } from './Attempt.js'
-import { NO_RESOURCES, countPlaces, addResources, resourcesOf } from './Room.js'
-import type { IResources } from './Room.js'
+import { NO_RESOURCES, countPlaces, addResources, resourcesOf } from './Resources.js'
+import type { IResources } from './Resources.js'
 import type { IHostEntry, IStepSpec } from './Types.js'
 
 /** The slowest rate of a host's monotonic clock: operators guarantee that it is at most 2% slow. */
--- a/src/common/cell/Job.ts
+++ b/src/common/cell/Job.ts
@@ -53,7 +53,7 @@
   }
 
   /** Whether none of its tasks has a run that may exist. */
-  public get isQuiet (): boolean {
+  public get hasNoRuns (): boolean {
     return this.tasks.every((task) => task.attempt === undefined)
   }
 
@@ -97,7 +97,7 @@
   }
 
   /** The phase that callers may be told. */
-  public get shownPhase (): JobPhase {
+  public get reportedPhase (): JobPhase {
     if (this.storedPhase !== 'queued') return this.storedPhase
     return this.hasStarted ? 'running' : 'queued'
   }
--- a/src/common/cell/JobRecord.ts
+++ b/src/common/cell/JobRecord.ts
@@ -9,7 +9,7 @@
 import type { IJobSpec, IQueue, IStepSpec, JobPhase } from './Types.js'
 
 /** Defaults for the fields that a caller leaves out of a step. */
-export const EMPTY_STEP: IStepSpec = {
+export const DEFAULT_STEP: IStepSpec = {
   count: 0,
   cpuMillicores: 0,
   memoryMb: 0,
@@ -64,10 +64,10 @@
 
 export function decodeJob (record: string): IJobSpec {
   const spec = JSON.parse(record) as IJobSpec
-  return { ...spec, steps: spec.steps.map((step) => ({ ...EMPTY_STEP, ...step })) }
+  return { ...spec, steps: spec.steps.map((step) => ({ ...DEFAULT_STEP, ...step })) }
 }
 
-export function termsOf (queue: IQueue): QueueTerms {
+export function queueTermsOf (queue: IQueue): QueueTerms {
   const { name, service, priority, maxAttempts, stretch, targetMs, advice } = queue
   return { name, service, priority, maxAttempts, stretch, targetMs, advice }
 }
@@ -80,7 +80,7 @@
 /** Decodes an accepted job. Throws if the record has another format. */
 export function decodeAccepted (record: string, nowMs: MonotonicMs, wallMs: EpochMs): Job {
   const { queue, receivedAtWallMs, job } = JSON.parse(record) as IAcceptedRecord
-  const spec = { ...job, steps: job.steps.map((step) => ({ ...EMPTY_STEP, ...step })) }
+  const spec = { ...job, steps: job.steps.map((step) => ({ ...DEFAULT_STEP, ...step })) }
   return new Job(spec, queue, nowMs - Math.max(0, wallMs - receivedAtWallMs))
 }
 
@@ -94,7 +94,7 @@
 }
 
 export function encodeProgress (job: Job): string {
-  const tasks = job.isFinished && job.steps.every((step) => step.isQuiet) ? [] : job.steps.flatMap((step) => step.tasks.flatMap(toTaskRow))
+  const tasks = job.isFinished && job.steps.every((step) => step.hasNoRuns) ? [] : job.steps.flatMap((step) => step.tasks.flatMap(toTaskRow))
   const steps = job.steps.flatMap(({ number, gangFailures, lastFailedRun }): readonly StepRow[] =>
     gangFailures === 0 ? [] : [[number, gangFailures, lastFailedRun]])
   return JSON.stringify({ phase: job.phase, started: job.hasStarted, steps, tasks } satisfies IProgressRecord)
--- a/src/common/cell/Placement.ts
+++ b/src/common/cell/Placement.ts
@@ -8,8 +8,8 @@
 import type { MonotonicMs } from '../Types.js'
 import type { HostState } from './HostState.js'
 import type { Step, Task } from './Job.js'
-import { NO_RESOURCES } from './Room.js'
-import type { IResources } from './Room.js'
+import { NO_RESOURCES } from './Resources.js'
+import type { IResources } from './Resources.js'
 import type { StepAdvice } from './StepAdvice.js'
 
 export interface IPlacement {
--- a/src/common/cell/RunController.ts
+++ b/src/common/cell/RunController.ts
@@ -19,7 +19,7 @@
   start (host: IHostEntry, order: Omit<IStartOrder, 'fence'>): Promise<StartOutcome>
   stop (host: IHostEntry, ref: IRunRef): Promise<StopOutcome>
   /** Called when a host accepts orders of a newer owner only. */
-  noteFenced (hostId: string): void
+  onFenced (hostId: string): void
   /** Called when recorded runs of the step have no valid ticket. */
   requestTickets (step: Step): void
   /** Called when a task has started, with the time since the caller first sent its job. */
@@ -91,7 +91,7 @@
     attempt.stopSentAtMs = nowMs
     this._effects.stop(attempt.host.entry, attempt.ref).then((outcome) => {
       if (outcome === 'stopped') attempt.stopConfirmedAtMs = this._clock.nowMs()
-      if (outcome === 'fenced') this._effects.noteFenced(attempt.host.hostId)
+      if (outcome === 'fenced') this._effects.onFenced(attempt.host.hostId)
       this._log.info('run.stopAnswered', { ...runLogFields(attempt), outcome })
     }, (error: unknown) => { this._log.error('run.stopFailed', { ...runLogFields(attempt), reason: String(error) }) })
   }
@@ -169,7 +169,7 @@
         attempt.transition('UNANSWERED')
         return
       case 'fenced':
-        this._effects.noteFenced(attempt.host.hostId)
+        this._effects.onFenced(attempt.host.hostId)
         return
       case 'refused':
         this._handleRefusal(attempt, outcome.reason, nowMs)
--- a/src/common/cell/Successor.ts
+++ b/src/common/cell/Successor.ts
@@ -5,7 +5,7 @@
  * every machine; the process that started last will be the last to be stopped again.
  */
 
-export interface IOffer {
+export interface ISuccessorOffer {
   readonly processId: string
   readonly peerUrl: string
   /** The start time of the process. */
@@ -21,7 +21,7 @@
  */
 const MAX_YIELD_DIFFERENCE_MS = 100
 
-export function chooseSuccessor (offers: readonly IOffer[]): IOffer | undefined {
+export function chooseSuccessor (offers: readonly ISuccessorOffer[]): ISuccessorOffer | undefined {
   const willing = offers.filter(({ isWilling }) => isWilling)
   const leastMs = Math.min(...willing.map(({ yieldMs }) => yieldMs))
   return willing.filter(({ yieldMs }) => yieldMs - leastMs < MAX_YIELD_DIFFERENCE_MS).sort((a, b) => b.incarnation - a.incarnation)[0]
--- a/src/common/cell/Types.ts
+++ b/src/common/cell/Types.ts
@@ -184,15 +184,15 @@
   | { readonly kind: 'busy' }
   | { readonly kind: 'failed', readonly reason: string }
 
-export interface IAdviceAsk {
+export interface IAdviceRequest {
   readonly jobId: string
   readonly step: number
   readonly hostIds: readonly string[]
 }
 
 /** The advice service, which knows the hosts that may run a step. It handles one call at a time for each calling machine. */
-export interface IAdviser {
-  ask (ask: IAdviceAsk, timeoutMs: number): Promise<AdviceOutcome>
+export interface IAdviceService {
+  ask (ask: IAdviceRequest, timeoutMs: number): Promise<AdviceOutcome>
 }
 
 export interface IMetadataItem {
--- a/src/common/protocol/Types.ts
+++ b/src/common/protocol/Types.ts
@@ -4,7 +4,7 @@
  */
 
 import type {
-  AdviceOutcome, CancelOutcome, IAdviceAsk, ISubmission, ITicket, JobPhase, OwnerAnswer, StateOutcome
+  AdviceOutcome, CancelOutcome, IAdviceRequest, ISubmission, ITicket, JobPhase, OwnerAnswer, StateOutcome
 } from '../cell/Types.js'
 import type { IConfigEntry } from '../config/Types.js'
 import type { IFinalAnswer, ILocation, IProcessIdentity, IResources, OutcomeReason } from '../Types.js'
@@ -262,7 +262,7 @@
 }
 
 /** Asks a machine to ask the advice service, which handles the calls of each machine one after the other. */
-export interface ICellAdviceAsk extends IAdviceAsk {
+export interface ICellAdviceAsk extends IAdviceRequest {
   readonly timeoutMs: number
 }
 
--- a/src/common/state/ChartTable.ts
+++ b/src/common/state/ChartTable.ts
@@ -48,7 +48,7 @@
   }
 
   /** Whether `state` has a transition for `event`. */
-  public takes (state: string, event: string): boolean {
+  public hasTransition (state: string, event: string): boolean {
     return this._rows.get(state)?.has(event) ?? false
   }
 
--- a/src/common/state/GangReservation.ts
+++ b/src/common/state/GangReservation.ts
@@ -95,7 +95,7 @@
   }
 
   /** Returns the commands to send now. To be called after each report. */
-  public commands (nowMs: MonotonicMs): readonly GangCommand[] {
+  public nextCommands (nowMs: MonotonicMs): readonly GangCommand[] {
     if (this._phase === 'reserving') return this._reserveNext(nowMs)
     if (this._phase === 'starting') return this._startAll()
     if (this._phase === 'givingBack') return this._giveBackAll()
@@ -103,13 +103,13 @@
   }
 
   /** Reports the answer to `reserve`. */
-  public reserved (scheduler: string, taskIds: readonly string[]): void {
+  public reportReserved (scheduler: string, taskIds: readonly string[]): void {
     const part = this._parts.get(scheduler)
     if (part?.state === 'asking') this._parts.set(scheduler, { ...part, state: 'reserved', taskIds })
   }
 
   /** Reports the answer to `start`. `started` is false also if there was no answer, since the tasks may have started. */
-  public started (scheduler: string, started: boolean): void {
+  public reportStarted (scheduler: string, started: boolean): void {
     const part = this._parts.get(scheduler)
     if (part?.state !== 'starting') return
     if (!started) {
@@ -121,18 +121,18 @@
   }
 
   /** Reports that `reserve` had no answer, or that a task ended or its scheduler was lost before all had started: everything is given back. */
-  public failed (): void {
+  public reportFailed (): void {
     if (this._phase === 'reserving' || this._phase === 'starting') this._phase = 'givingBack'
   }
 
   /** Reports the answer to `giveBack`, or that the scheduler is gone and the new owner of its hosts has stopped the tasks. */
-  public gaveBack (scheduler: string): void {
+  public reportGivenBack (scheduler: string): void {
     this._parts.delete(scheduler)
     if (this._phase === 'givingBack' && this._parts.size === 0) this._phase = 'givenBack'
   }
 
   /** Reports that `giveBack` was not answered, so that it is sent again. */
-  public giveBackFailed (scheduler: string): void {
+  public reportGiveBackFailed (scheduler: string): void {
     const part = this._parts.get(scheduler)
     if (part?.state === 'giving') this._parts.set(scheduler, { ...part, state: 'reserved' })
   }
--- a/src/common/state/JobFence.test.ts
+++ b/src/common/state/JobFence.test.ts
@@ -26,11 +26,11 @@
   // The answer to a command is lost, its owner sends it again, and the attempt ends meanwhile. If it were started again, it would
   // run beside the next attempt.
   const fence = new JobFence()
-  fence.noteHeld('job t0', 2)
+  fence.recordHeld('job t0', 2)
   t.is(decide(fence, 2), 'known')
   t.is(decide(fence, 1), 'late')
   t.is(decide(fence, 3), 'busy')
-  fence.noteGone('job t0', 2)
+  fence.recordGone('job t0', 2)
   t.is(decide(fence, 2), 'known')
   t.is(decide(fence, 1), 'late')
   t.is(decide(fence, 3), 'start')
@@ -44,12 +44,12 @@
 
 test('a task is forgotten only when it isn\'t held', (t) => {
   const fence = new JobFence()
-  fence.noteHeld('job t0', 2)
+  fence.recordHeld('job t0', 2)
   fence.forget('job t0')
   t.is(decide(fence, 2), 'known')
-  fence.noteGone('job t0', 1)
+  fence.recordGone('job t0', 1)
   t.is(fence.heldAttempt('job t0'), 2)
-  fence.noteGone('job t0', 2)
+  fence.recordGone('job t0', 2)
   fence.forget('job t0')
   t.is(decide(fence, 2), 'start')
 })
--- a/src/common/state/JobFence.ts
+++ b/src/common/state/JobFence.ts
@@ -78,12 +78,12 @@
   }
 
   /** Records that an attempt is held here from now on. */
-  public noteHeld (task: string, attempt: number): void {
+  public recordHeld (task: string, attempt: number): void {
     this._tasks.set(task, { highest: this._highest(task, attempt), held: attempt })
   }
 
   /** Records that an attempt is no longer held here, or has ended without having been held. */
-  public noteGone (task: string, attempt: number): void {
+  public recordGone (task: string, attempt: number): void {
     const held = this._tasks.get(task)?.held
     const highest = this._highest(task, attempt)
     this._tasks.set(task, held === undefined || held === attempt ? { highest } : { highest, held })
--- a/src/common/state/JobTable.ts
+++ b/src/common/state/JobTable.ts
@@ -31,7 +31,7 @@
   }
 
   /** The accepted jobs that haven't ended, which a new owner has to continue. */
-  public live (): readonly IJobSpec[] {
+  public liveJobs (): readonly IJobSpec[] {
     return [...this._jobs.values()].filter((record) => record.end === undefined).map((record) => record.job)
   }
 
--- a/src/common/state/ShardOwnership.ts
+++ b/src/common/state/ShardOwnership.ts
@@ -105,7 +105,7 @@
     return this._heldEpoch
   }
 
-  public get held (): boolean {
+  public get isHeld (): boolean {
     return HELD_STATES.has(this._state)
   }
 
@@ -131,16 +131,16 @@
   }
 
   /** Starts a takeover. Do the returned write and report its outcome. */
-  public take (): IRecordWrite | undefined {
-    if (!this._chart.takes(this._state, 'TAKE')) return undefined
+  public startTakeover (): IRecordWrite | undefined {
+    if (!this._chart.hasTransition(this._state, 'TAKE')) return undefined
     this._write = this._buildWrite(this._self, Math.max(this._record?.epoch ?? 0, this._fencedEpoch) + 1)
     this._applyEvent('TAKE')
     return this._write
   }
 
   /** Starts a planned release. The epoch stays in the record. */
-  public release (): IRecordWrite | undefined {
-    if (!this._chart.takes(this._state, 'RELEASE')) return undefined
+  public startRelease (): IRecordWrite | undefined {
+    if (!this._chart.hasTransition(this._state, 'RELEASE')) return undefined
     this._write = this._buildWrite({ processId: '', incarnation: 0 }, this._heldEpoch)
     this._applyEvent('RELEASE')
     return this._write
@@ -152,7 +152,7 @@
   }
 
   /** Reports the outcome of a write. In the states `confirming` and `releasing`, read the record next and report it to `observe`. */
-  public wrote (write: IRecordWrite, outcome: WriteOutcome, modRevision: number): OwnershipChange | undefined {
+  public reportWrite (write: IRecordWrite, outcome: WriteOutcome, modRevision: number): OwnershipChange | undefined {
     if (write.record.nonce !== this._write?.record.nonce) return undefined
     if (outcome === 'ok') this._setRecord(write.record, modRevision)
     return this._applyEvent(EVENT_BY_OUTCOME[outcome])
@@ -169,13 +169,13 @@
   }
 
   /** Reports that a host or a log refused an epoch. If its epoch isn't above ours, the refusal is a late answer to an earlier owner. */
-  public fenced (currentEpoch: number): OwnershipChange | undefined {
+  public reportFenced (currentEpoch: number): OwnershipChange | undefined {
     this._fencedEpoch = Math.max(this._fencedEpoch, currentEpoch)
     return currentEpoch > this._heldEpoch ? this._applyEvent('FENCED') : undefined
   }
 
   /** Reports that the takeover has read everything that it needs: from now on this process may place work. */
-  public ready (epoch: number): void {
+  public markReady (epoch: number): void {
     if (epoch === this._heldEpoch) this._applyEvent('READY')
   }
 
@@ -213,11 +213,11 @@
   }
 
   private _applyEvent (event: OwnershipEvent): OwnershipChange | undefined {
-    const heldBefore = this.held
+    const heldBefore = this.isHeld
     this._state = this._chart.next(this._state, event) as OwnershipState
     if (!WRITING_STATES.has(this._state)) this._write = undefined
-    if (this.held === heldBefore) return undefined
-    if (this.held) return this._acquired()
+    if (this.isHeld === heldBefore) return undefined
+    if (this.isHeld) return this._acquired()
     return this._lost(event)
   }
 
--- a/src/common/state/SliceLog.test.ts
+++ b/src/common/state/SliceLog.test.ts
@@ -8,7 +8,7 @@
 import fc from 'fast-check'
 import { headKey, segmentPrefix } from './SliceKeys.js'
 import { SliceLog } from './SliceLog.js'
-import { recoverSlice, takeoverWrite } from './SliceTakeover.js'
+import { recoverSlice, buildTakeoverWrite } from './SliceTakeover.js'
 import { decodeHead } from './SliceCodec.js'
 
 import type { SliceProgress } from './SliceLogTypes.js'
@@ -46,7 +46,7 @@
   public takeOver (): void {
     const epoch = this._logs.length + 1
     const by = { shardId: SHARD, owner: `o${epoch}`, epoch }
-    const write = takeoverWrite(by, this._nonce(), this._store.records.get(headKey(SHARD)))._unsafeUnwrap()
+    const write = buildTakeoverWrite(by, this._nonce(), this._store.records.get(headKey(SHARD)))._unsafeUnwrap()
     const { modRevision } = this._store.swap(write)
     const segments = [...this._store.records.values()].filter(({ key }) => key.startsWith(segmentPrefix(SHARD)))
     const recovered = recoverSlice(SHARD, write.head, modRevision, segments)._unsafeUnwrap()
@@ -67,8 +67,8 @@
     if (log === undefined || write === undefined) return
     if (fault === 'delayed') this._delayedWrites.push(write)
     const done = fault === 'none' || fault === 'answerLost' ? this._store.swap(write) : undefined
-    if (fault === 'none' && done !== undefined) this._handle(owner, log.report(done.outcome, done.modRevision))
-    else this._handle(owner, log.report(fault === 'down' ? 'nothing' : 'ambiguous'))
+    if (fault === 'none' && done !== undefined) this._handle(owner, log.reportWrite(done.outcome, done.modRevision))
+    else this._handle(owner, log.reportWrite(fault === 'down' ? 'nothing' : 'ambiguous'))
   }
 
   public deliverDelayedWrite (): void {
@@ -101,7 +101,7 @@
   private _readBack (owner: number): void {
     const record = this._store.records.get(headKey(SHARD))
     const head = record === undefined ? undefined : decodeHead(record.key, record.value)._unsafeUnwrap()
-    const progress = this._log(owner)?.readBack(head, record?.modRevision ?? 0)
+    const progress = this._log(owner)?.reportHead(head, record?.modRevision ?? 0)
     if (progress !== undefined) this._handle(owner, progress)
   }
 
@@ -154,7 +154,7 @@
   fc.assert(fc.property(damage, ({ at, cut, put }) => {
     const value = text.slice(0, at) + put + text.slice(at + cut)
     const found = { key: headKey(SHARD), value, modRevision: 1 }
-    const taken = takeoverWrite({ shardId: SHARD, owner: 'p', epoch: 2 }, 'm', found)
+    const taken = buildTakeoverWrite({ shardId: SHARD, owner: 'p', epoch: 2 }, 'm', found)
     const read = taken.andThen((write) => recoverSlice(SHARD, write.head, 2, [{ key: `${segmentPrefix(SHARD)}1-0`, value, modRevision: 1 }]))
     if (read.isErr() && !read.error.message.includes('slices/')) throw new Error(`the error doesn't name the key: ${read.error.message}`)
   }), { seed: SEED, numRuns: 2_000 })
--- a/src/common/state/SliceLog.ts
+++ b/src/common/state/SliceLog.ts
@@ -73,7 +73,7 @@
   }
 
   /** Whether the outcome of a write is unknown, so that its entries may or may not be durable. */
-  public get inDoubt (): boolean {
+  public get isInDoubt (): boolean {
     return this._isInDoubt
   }
 
@@ -120,7 +120,7 @@
   }
 
   /** Reports the outcome of the write returned by `nextWrite`; `modRevision` is the new revision if it is `ok`. */
-  public report (outcome: WriteOutcome, modRevision = 0): SliceProgress {
+  public reportWrite (outcome: WriteOutcome, modRevision = 0): SliceProgress {
     const write = this._write
     if (write === undefined) return { type: 'continue' }
     if (write.kind === 'delete') return this._reportDelete()
@@ -129,7 +129,7 @@
   }
 
   /** Reports the stored head, after a reported outcome asked for it. */
-  public readBack (head: ISliceHead | undefined, modRevision: number): SliceProgress {
+  public reportHead (head: ISliceHead | undefined, modRevision: number): SliceProgress {
     const write = this._write
     if (write?.kind !== 'head') return { type: 'continue' }
     if (head?.nonce === write.head.nonce) return this._commit(write, modRevision)
--- a/src/common/state/SliceTables.ts
+++ b/src/common/state/SliceTables.ts
@@ -18,7 +18,7 @@
   private readonly _undos: Undo[] = []
 
   /** Applies entries that are already durable. */
-  public recover (entries: readonly SliceEntry[]): void {
+  public applyDurable (entries: readonly SliceEntry[]): void {
     for (const entry of entries) {
       this.claims.apply(entry)
       this.jobs.apply(entry)
@@ -26,7 +26,7 @@
   }
 
   /** Applies an entry that has been queued. */
-  public queue (entry: SliceEntry): void {
+  public applyQueued (entry: SliceEntry): void {
     const undoClaim = this.claims.apply(entry)
     const undoJob = this.jobs.apply(entry)
     this._undos.push(() => {
@@ -36,12 +36,12 @@
   }
 
   /** Records that the oldest `count` queued entries are durable. */
-  public committed (count: number): void {
+  public confirmOldest (count: number): void {
     this._undos.splice(0, count)
   }
 
   /** Undoes the newest `count` queued entries, which had no effect. */
-  public dropped (count: number): void {
+  public undoNewest (count: number): void {
     const undos = this._undos.splice(this._undos.length - count, count)
     for (const undo of undos.reverse()) undo()
   }
--- a/src/common/state/SliceTakeover.ts
+++ b/src/common/state/SliceTakeover.ts
@@ -37,7 +37,7 @@
 }
 
 /** Builds the write that raises the epoch in the head. Returns a `FencedError` if a newer owner has raised it already. */
-export function takeoverWrite (
+export function buildTakeoverWrite (
   claimant: ISliceClaimant, nonce: string, found: IReadRecord | undefined
 ): Result<ITakeoverWrite, FencedError | InvalidInputError> {
   const key = headKey(claimant.shardId)
--- a/src/common/state/TaskLeases.ts
+++ b/src/common/state/TaskLeases.ts
@@ -72,7 +72,7 @@
     this._attempts = new Map(from?.attempts)
   }
 
-  public get fenced (): boolean {
+  public get isFenced (): boolean {
     return this._fenced
   }
 
@@ -87,17 +87,17 @@
   }
 
   /** Records that the host has accepted our epoch, with the list of everything that it runs. */
-  public noteFenced (clock: IHostClockSnapshot, reports: readonly IAttemptReport[]): void {
+  public recordFence (clock: IHostClockSnapshot, reports: readonly IAttemptReport[]): void {
     this._fenced = true
     this._inheritedUntilHostMs = clock.hostMs + this._options.leaseMs
-    this.noteList(clock, reports)
+    this.recordList(clock, reports)
   }
 
   /**
    * Records a list of what runs on the host and what has ended there. An attempt of ours that isn't listed is left unchanged,
    * since its start may still be in flight.
    */
-  public noteList (clock: IHostClockSnapshot, reports: readonly IAttemptReport[]): void {
+  public recordList (clock: IHostClockSnapshot, reports: readonly IAttemptReport[]): void {
     this._clock.observe(clock)
     for (const report of reports) this._recordReport(report)
   }
@@ -109,7 +109,7 @@
   }
 
   /** Records a start or a renewal. To be called before it is sent: the command counts even if it is never answered. */
-  public noteSent (taskId: string, attempt: number, expiresHostMs: number): void {
+  public recordSent (taskId: string, attempt: number, expiresHostMs: number): void {
     const known = this._attempts.get(taskId)
     const same = known?.attempt === attempt ? known : undefined
     this._attempts.set(taskId, {
@@ -120,12 +120,12 @@
   }
 
   /** Records that the store has returned the shard's record with our epoch, in a read sent at `sentAtMs`. */
-  public noteConfirmed (sentAtMs: MonotonicMs): void {
+  public recordConfirmation (sentAtMs: MonotonicMs): void {
     this._confirmedAtMs = Math.max(this._confirmedAtMs, sentAtMs)
   }
 
   /** Whether an attempt after `attempt` may start, here or on another host. */
-  public nextAttempt (taskId: string, attempt: number, nowMs: MonotonicMs): NextAttempt {
+  public decideNextAttempt (taskId: string, attempt: number, nowMs: MonotonicMs): NextAttempt {
     if (!this._fenced) return 'unfenced'
     const known = this._attempts.get(taskId)
     if (known !== undefined && known.attempt > attempt) return 'leased'
--- a/src/common/state/HeldTries.test.ts
+++ b/src/common/state/TryFence.test.ts
@@ -3,11 +3,11 @@
  */
 
 import test from 'ava'
-import { HeldTries } from './HeldTries.js'
+import { TryFence } from './TryFence.js'
 
 test('a late command of an earlier try is refused', (t) => {
   // A start of the first try arrives when places are held for the second one. It would start a part of the job alone.
-  const tries = new HeldTries()
+  const tries = new TryFence()
   t.true(tries.begin('job', 4))
   t.true(tries.mayStart('job', 4))
   t.true(tries.begin('job', 5))
@@ -20,7 +20,7 @@
 
 test('a try that was given back can be neither reserved nor started', (t) => {
   // The command that gives a try back overtakes its reservation, which would then hold places that no one uses.
-  const tries = new HeldTries()
+  const tries = new TryFence()
   t.true(tries.giveBack('job', 4))
   t.false(tries.begin('job', 4))
   t.false(tries.mayStart('job', 4))
--- a/src/common/state/HeldTries.ts
+++ b/src/common/state/TryFence.ts
@@ -6,18 +6,18 @@
  * the number of its try, the numbers only increase, and commands of an earlier try or of one that was given back are refused.
  */
 
-export interface IHeldTry {
+export interface ITryState {
   readonly tryNumber: number
   /** False once the try was given back. */
   readonly isOpen: boolean
 }
 
-export type IHeldTriesSnapshot = Readonly<Record<string, IHeldTry>>
+export type ITryFenceSnapshot = Readonly<Record<string, ITryState>>
 
-export class HeldTries {
-  private readonly _byJob: Map<string, IHeldTry>
+export class TryFence {
+  private readonly _byJob: Map<string, ITryState>
 
-  public constructor (from?: IHeldTriesSnapshot) {
+  public constructor (from?: ITryFenceSnapshot) {
     this._byJob = new Map(Object.entries(from ?? {}))
   }
 
@@ -49,7 +49,7 @@
   }
 
   /** The state as plain data, for the specification, which explores states. */
-  public snapshot (): IHeldTriesSnapshot {
+  public snapshot (): ITryFenceSnapshot {
     return Object.fromEntries(this._byJob)
   }
 }
--- a/src/daemon/ControllerDaemon.ts
+++ b/src/daemon/ControllerDaemon.ts
@@ -38,8 +38,8 @@
 
 import type { Server } from 'node:http'
 import type { AddressInfo } from 'node:net'
-import type { IAdviceMachine, IAdviceSender } from '../common/cell/AdviceDesk.js'
-import type { AdviceOutcome, IAdviceAsk } from '../common/cell/Types.js'
+import type { IAdviceMachine, IAdviceSender } from '../common/cell/AdviceDispatcher.js'
+import type { AdviceOutcome, IAdviceRequest } from '../common/cell/Types.js'
 import type { IProcessIdentity } from '../common/Types.js'
 import type { IControllerSettings } from '../runtime/settings/ControllerSettings.js'
 
@@ -211,7 +211,7 @@
     return [{ name: processId, isNear: true }, ...peers]
   }
 
-  public async send (machine: string, ask: IAdviceAsk, timeoutMs: number): Promise<AdviceOutcome> {
+  public async send (machine: string, ask: IAdviceRequest, timeoutMs: number): Promise<AdviceOutcome> {
     if (machine === this._self.processId) return await this._adviser.ask(ask, timeoutMs)
     const link = this._hub?.link(machine)
     if (link === undefined) return { kind: 'failed', reason: 'no link' }
--- a/src/scheduler/jobs/GroupReserver.ts
+++ b/src/scheduler/jobs/GroupReserver.ts
@@ -39,7 +39,7 @@
     const gang = new GangReservation(requests[0]?.attempt ?? 0, requests, schedulers, DEFAULT_GANG_OPTIONS)
     const reservation: IReservationTry = { run, tasks, gang, holders: new Map(), isInDoubt: false }
     while (gang.phase !== 'running' && gang.phase !== 'givenBack') {
-      const commands = gang.commands(this._context.clock.nowMs())
+      const commands = gang.nextCommands(this._context.clock.nowMs())
       await Promise.all(commands.map(async (command) => { await this._carryOut(reservation, command) }))
     }
     this._applyOutcome(reservation)
@@ -56,29 +56,29 @@
     const request = { jobId, tasks: command.tasks, expiresMs: command.expiresMs, tryNumber: command.tryNumber }
     const reply = await this._context.peers.call(command.scheduler, 'reserve', request, CALL_TIMEOUT_MS)
     if (reply.isErr()) {
-      reservation.gang.failed()
+      reservation.gang.reportFailed()
       return
     }
     for (const taskId of reply.value.reservedTaskIds) reservation.holders.set(taskId, command.scheduler)
-    reservation.gang.reserved(command.scheduler, reply.value.reservedTaskIds)
+    reservation.gang.reportReserved(command.scheduler, reply.value.reservedTaskIds)
   }
 
   private async _startReserved (reservation: IReservationTry, scheduler: string): Promise<void> {
     const reply = await this._context.peers.call(scheduler, 'startReserved', this._reservationRefOf(reservation), CALL_TIMEOUT_MS)
-    reservation.gang.started(scheduler, reply.isOk() && reply.value.started)
+    reservation.gang.reportStarted(scheduler, reply.isOk() && reply.value.started)
   }
 
   private async _giveBack (reservation: IReservationTry, scheduler: string): Promise<void> {
     for (let tries = 0; tries < MAX_GIVE_BACK_TRIES; tries += 1) {
       const reply = await this._context.peers.call(scheduler, 'dropReservation', this._reservationRefOf(reservation), CALL_TIMEOUT_MS)
       if (reply.isOk()) {
-        reservation.gang.gaveBack(scheduler)
+        reservation.gang.reportGivenBack(scheduler)
         return
       }
       await new Promise<void>((resolve) => { this._context.timers.after(GIVE_BACK_RETRY_MS, resolve) })
     }
     reservation.isInDoubt = true
-    reservation.gang.gaveBack(scheduler)
+    reservation.gang.reportGivenBack(scheduler)
   }
 
   private _applyOutcome (reservation: IReservationTry): void {
--- a/src/scheduler/jobs/HeldTasks.ts
+++ b/src/scheduler/jobs/HeldTasks.ts
@@ -58,7 +58,7 @@
   public add (task: IHeldTask): void {
     this._byItem.set(task.itemId, task)
     this._byTask.set(hostTaskId(task.jobId, task.taskId), task)
-    this._fence.noteHeld(hostTaskId(task.jobId, task.taskId), task.attempt)
+    this._fence.recordHeld(hostTaskId(task.jobId, task.taskId), task.attempt)
   }
 
   public findByItem (itemId: string): IHeldTask | undefined {
@@ -99,7 +99,7 @@
   }
 
   private _recordGone (task: string, attempt: number): void {
-    this._fence.noteGone(task, attempt)
+    this._fence.recordGone(task, attempt)
     this._gone.set(task, true)
   }
 }
--- a/src/scheduler/jobs/JobsOverLinks.test.ts
+++ b/src/scheduler/jobs/JobsOverLinks.test.ts
@@ -86,7 +86,7 @@
     owned,
     takeShard: (shardId, epoch) => {
       owned.set(shardId, epoch)
-      if (shardId === ID_SHARD) jobs.takeOver(shardId, epoch, cell.log.table.live())
+      if (shardId === ID_SHARD) jobs.takeOver(shardId, epoch, cell.log.table.liveJobs())
       else acquired.fire({ shardId, epoch })
     },
     summary: () => {
--- a/src/scheduler/jobs/LiveAttempts.ts
+++ b/src/scheduler/jobs/LiveAttempts.ts
@@ -38,7 +38,7 @@
 
   /** Whether the host has accepted this process's epoch and listed all attempts that it runs. */
   public get fenced (): boolean {
-    return this._leases.fenced
+    return this._leases.isFenced
   }
 
   public get size (): number {
@@ -73,7 +73,7 @@
 
   /** Adopts the attempts that an earlier owner started, after the host has accepted this process's epoch. */
   public adopt (status: IWorkerStatus, clock: IHostClockSnapshot): void {
-    this._leases.noteFenced(clock, status.tasks.map(toReport))
+    this._leases.recordFence(clock, status.tasks.map(toReport))
     const running = status.tasks.filter((task) => task.state === 'running').map(toStart)
     for (const start of running) this.add(start).confirmationNumber = ++this._confirmationCount
     this._events.onAdopted(this._hostId, running)
@@ -84,7 +84,7 @@
 
   /** Applies the status that the host returned to a sync, a start or a stop. */
   public applyStatus (status: IWorkerStatus, clock: IHostClockSnapshot): void {
-    this._leases.noteList(clock, status.tasks.map(toReport))
+    this._leases.recordList(clock, status.tasks.map(toReport))
     for (const task of status.tasks) this._applyTaskStatus(task)
   }
 
@@ -108,7 +108,7 @@
   /** Renews all leases and returns their new end. It is recorded before it is sent, because it counts even if no answer comes. */
   public renew (nowMs: MonotonicMs): number {
     const expiresHostMs = this._leases.expiryFor(nowMs) ?? 0
-    for (const live of this._live.values()) this._leases.noteSent(live.hostTaskId, live.start.attempt, expiresHostMs)
+    for (const live of this._live.values()) this._leases.recordSent(live.hostTaskId, live.start.attempt, expiresHostMs)
     return expiresHostMs
   }
 
@@ -117,7 +117,7 @@
     const leaseExpiresHostMs = this._leases.expiryFor(nowMs) ?? 0
     return attempts.map(({ hostTaskId: hostTask, start }) => {
       const { attempt, jobId, service, resources, runMs } = start
-      this._leases.noteSent(hostTask, attempt, leaseExpiresHostMs)
+      this._leases.recordSent(hostTask, attempt, leaseExpiresHostMs)
       return { taskId: hostTask, attempt, jobId, service, resources, leaseExpiresHostMs, ...(runMs === undefined ? {} : { runMs }) }
     })
   }
@@ -126,7 +126,7 @@
   public endLapsed (nowMs: MonotonicMs): boolean {
     let isUnconfirmed = false
     for (const live of [...this._live.values()]) {
-      const next = this._leases.nextAttempt(live.hostTaskId, live.start.attempt, nowMs)
+      const next = this._leases.decideNextAttempt(live.hostTaskId, live.start.attempt, nowMs)
       if (next === 'lapsed' || next === 'ended') this.end(live, 'lost')
       if (next === 'unconfirmed') isUnconfirmed = true
     }
@@ -135,7 +135,7 @@
 
   /** Records that a read of the store, sent at `sentAtMs`, confirmed that this process owns the shard. */
   public confirmOwnership (sentAtMs: MonotonicMs): void {
-    this._leases.noteConfirmed(sentAtMs)
+    this._leases.recordConfirmation(sentAtMs)
   }
 
   public endAll (): void {
--- a/src/scheduler/jobs/Reservations.ts
+++ b/src/scheduler/jobs/Reservations.ts
@@ -3,7 +3,7 @@
  * of the job are reserved or the reservation expires. `HeldTries` decides which try of a job is still valid.
  */
 
-import { HeldTries } from '../../common/state/HeldTries.js'
+import { TryFence } from '../../common/state/TryFence.js'
 
 import type { IWorkItem } from '../../common/policy/Types.js'
 import type { IPlaceTask, IReservationRef, IReserveReply, IReserveRequest } from '../../common/protocol/Types.js'
@@ -21,7 +21,7 @@
 const RETENTION_MS = 60_000
 
 export class Reservations implements IDisposable {
-  private readonly _tries = new HeldTries()
+  private readonly _tries = new TryFence()
   private readonly _byJob = new Map<string, IReservation>()
 
   public constructor (
--- a/src/scheduler/ownership/ShardOwner.ts
+++ b/src/scheduler/ownership/ShardOwner.ts
@@ -87,7 +87,7 @@
   /** The epoch under which this process holds the shard; undefined if it doesn't. */
   public epochOf (shardId: string): number | undefined {
     const ownership = this._shards.get(shardId)?.ownership
-    return ownership?.held === true ? ownership.epoch : undefined
+    return ownership?.isHeld === true ? ownership.epoch : undefined
   }
 
   /** The shards that this process holds, with their epochs. */
@@ -115,22 +115,22 @@
 
   /** Marks the takeover of a shard as complete. */
   public ready (shardId: string, epoch: number): void {
-    this._shards.get(shardId)?.ownership.ready(epoch)
+    this._shards.get(shardId)?.ownership.markReady(epoch)
   }
 
   /** Reports that a host or a log has refused this process because of a newer epoch. */
   public fenced (shardId: string, currentEpoch: number): void {
     const shard = this._shards.get(shardId)
-    if (shard !== undefined) this._shards.fireChange(shard, shard.ownership.fenced(currentEpoch))
+    if (shard !== undefined) this._shards.fireChange(shard, shard.ownership.reportFenced(currentEpoch))
   }
 
   /** Releases one shard as planned, after its work has been handed over. */
   public async release (shardId: string): Promise<void> {
     const shard = this._shards.get(shardId)
-    if (shard === undefined || !shard.ownership.held || shard.releasing) return
+    if (shard === undefined || !shard.ownership.isHeld || shard.releasing) return
     shard.releasing = true
     await this._releaseHandler.beforeRelease(shardId, shard.ownership.epoch)
-    const write = shard.ownership.release()
+    const write = shard.ownership.startRelease()
     if (write !== undefined) await this._writeRecord(shard, write)
     shard.releasing = false
   }
@@ -265,7 +265,7 @@
   }
 
   private async _takeOver (shard: IKnownShard): Promise<void> {
-    const write = shard.ownership.take()
+    const write = shard.ownership.startTakeover()
     if (write === undefined) return
     this._pendingTakeovers += 1
     await this._writeRecord(shard, write)
--- a/src/scheduler/ownership/ShardRecordWriter.ts
+++ b/src/scheduler/ownership/ShardRecordWriter.ts
@@ -28,7 +28,7 @@
   public async write (ownership: ShardOwnership, write: IRecordWrite, listener: IRecordWriteListener): Promise<void> {
     while (!this._isDisposed) {
       const result = await performWrite(this._store, write)
-      listener.onChange(ownership.wrote(write, result.outcome, result.modRevision))
+      listener.onChange(ownership.reportWrite(write, result.outcome, result.modRevision))
       if (ownership.state !== 'confirming' && ownership.state !== 'releasing') return
       await this._readBack(ownership, write.record.shardId, listener)
       if (ownership.pendingWrite !== write) return
--- a/src/scheduler/ownership/ShardSet.ts
+++ b/src/scheduler/ownership/ShardSet.ts
@@ -69,7 +69,7 @@
   }
 
   public held (): readonly IKnownShard[] {
-    return this.all().filter(({ ownership }) => ownership.held)
+    return this.all().filter(({ ownership }) => ownership.isHeld)
   }
 
   /** Passes a record from the store to the ownership of its shard. */
--- a/src/scheduler/ownership/Slice.ts
+++ b/src/scheduler/ownership/Slice.ts
@@ -39,9 +39,9 @@
     private readonly _options: ISliceOptions,
     recovered: readonly SliceEntry[]
   ) {
-    this._tables.recover(recovered)
+    this._tables.applyDurable(recovered)
     this._writer.onCommitted((commit) => { this._handleCommit(commit) })
-    this._writer.onDropped((entries) => { this._tables.dropped(entries.length) })
+    this._writer.onDropped((entries) => { this._tables.undoNewest(entries.length) })
     this._writer.onLost(() => { this._onLost.fire() })
     this._expiryTimer = this._clock.every(EXPIRY_PERIOD_MS, () => { this._expireEntries() })
   }
@@ -52,7 +52,7 @@
 
   /** Accepted jobs that haven't ended. */
   public liveJobs (): readonly IJobSpec[] {
-    return this._tables.jobs.live()
+    return this._tables.jobs.liveJobs()
   }
 
   /** A job of this shard that is live or has ended within the retention time. */
@@ -121,7 +121,7 @@
 
   private _appendEntry (entry: SliceEntry): boolean {
     if (!this._writer.append(entry)) return false
-    this._tables.queue(entry)
+    this._tables.applyQueued(entry)
     return true
   }
 
@@ -131,7 +131,7 @@
    * attempt that never ran.
    */
   private _handleCommit (commit: ISliceCommit): void {
-    this._tables.committed(commit.entries.length)
+    this._tables.confirmOldest(commit.entries.length)
     if (!commit.wasInDoubt) return
     for (const entry of commit.entries) {
       if (entry.type !== 'claim' || !this._tables.claims.holds(entry.key, entry.attemptId, entry.holder)) continue
--- a/src/scheduler/ownership/SliceRecovery.ts
+++ b/src/scheduler/ownership/SliceRecovery.ts
@@ -6,7 +6,7 @@
 import { FencedError } from '../../common/Errors.js'
 import { decodeHead } from '../../common/state/SliceCodec.js'
 import { headKey, segmentPrefix } from '../../common/state/SliceKeys.js'
-import { recoverSlice, takeoverWrite } from '../../common/state/SliceTakeover.js'
+import { recoverSlice, buildTakeoverWrite } from '../../common/state/SliceTakeover.js'
 import { performWrite } from './StoreOutcome.js'
 
 import type { Result } from 'neverthrow'
@@ -58,7 +58,7 @@
       const read = await this._retryUntilAnswered(async () => await this._store.get(headKey(this._claimant.shardId)))
       if (read.isErr()) return err(read.error)
       if (this._isRaised(read.value)) return ok({ record: read.value })
-      const write = takeoverWrite(this._claimant, this._nonce(), read.value)
+      const write = buildTakeoverWrite(this._claimant, this._nonce(), read.value)
       if (write.isErr()) return err(write.error)
       const result = await performWrite(this._store, write.value)
       if (result.outcome === 'nothing' || result.outcome === 'ambiguous') await this._waitForRetry()
--- a/src/scheduler/ownership/SliceWriter.ts
+++ b/src/scheduler/ownership/SliceWriter.ts
@@ -135,7 +135,7 @@
     if (this._isClosed) return
     this._isWriting = false
     const hasAnswered = result.outcome === 'ok' || result.outcome === 'conflict'
-    this._handleProgress(this._log.report(result.outcome, result.modRevision), hasAnswered)
+    this._handleProgress(this._log.reportWrite(result.outcome, result.modRevision), hasAnswered)
   }
 
   private _handleProgress (progress: SliceProgress, answered: boolean): void {
@@ -156,7 +156,7 @@
 
   /** Continues with the next write, now that the store answers. */
   private _continueWriting (): void {
-    if (!this._log.inDoubt) {
+    if (!this._log.isInDoubt) {
       this._isAvailable = true
       this._commitTimeout?.dispose()
       this._commitTimeout = undefined
@@ -181,7 +181,7 @@
     }
     const record = read.value
     const head = record === undefined ? undefined : decodeHead(record.key, record.value).unwrapOr(undefined)
-    this._handleProgress(this._log.readBack(head, record?.modRevision ?? 0), true)
+    this._handleProgress(this._log.reportHead(head, record?.modRevision ?? 0), true)
   }
 
   private _handleCommitted (entries: readonly SliceEntry[]): void {
--- a/test/support/JobsCell.ts
+++ b/test/support/JobsCell.ts
@@ -99,7 +99,7 @@
   public take (shardId: string, epoch: number): void {
     this.owned.set(shardId, epoch)
     this._cell.epochs.set(shardId, epoch)
-    if (shardId === ID_SHARD) this.jobs.takeOver(shardId, epoch, this._cell.log.table.live())
+    if (shardId === ID_SHARD) this.jobs.takeOver(shardId, epoch, this._cell.log.table.liveJobs())
     else this.acquired.fire({ shardId, epoch })
     this._cell.announce()
   }
--- a/test/support/SimulatedCell.ts
+++ b/test/support/SimulatedCell.ts
@@ -6,7 +6,7 @@
 import { readFileSync } from 'node:fs'
 import { CellScheduler } from '../../src/common/cell/CellScheduler.js'
 import { Job } from '../../src/common/cell/Job.js'
-import { EMPTY_STEP, applyProgress, decodeAccepted, encodeAccepted, encodeProgress } from '../../src/common/cell/JobRecord.js'
+import { DEFAULT_STEP, applyProgress, decodeAccepted, encodeAccepted, encodeProgress } from '../../src/common/cell/JobRecord.js'
 import { ManualClock } from '../../src/common/Clock.js'
 import { SilentLogger } from '../../src/common/observability/SilentLogger.js'
 import { ChartTable } from '../../src/common/state/ChartTable.js'
@@ -14,14 +14,14 @@
 
 import type { HostState } from '../../src/common/cell/HostState.js'
 import type { QueueTerms } from '../../src/common/cell/Job.js'
-import type { AdviceOutcome, IAdviceAsk, IStepSpec } from '../../src/common/cell/Types.js'
+import type { AdviceOutcome, IAdviceRequest, IStepSpec } from '../../src/common/cell/Types.js'
 import type { IFlatChart } from '../../src/common/state/Types.js'
 import type { ISimulatedHostOptions } from './SimulatedHost.js'
 
 const CHART = ChartTable.compile(JSON.parse(
   readFileSync(new URL('../../../charts/attempt.json', import.meta.url), 'utf8')) as IFlatChart)._unsafeUnwrap()
 
-export const STEP: IStepSpec = { ...EMPTY_STEP, count: 1, cpuMillicores: 1000, memoryMb: 100, estimateMs: 1000 }
+export const STEP: IStepSpec = { ...DEFAULT_STEP, count: 1, cpuMillicores: 1000, memoryMb: 100, estimateMs: 1000 }
 
 export const QUEUE: QueueTerms = { name: 'queue', service: 'pool', priority: 1, maxAttempts: 3, stretch: 2, targetMs: 1000, advice: undefined }
 
@@ -35,12 +35,12 @@
   readonly hosts: number
   readonly host?: Partial<ISimulatedHostOptions>
   /** Which hosts may run a step, where its queue takes advice. */
-  allows? (hostId: string, ask: IAdviceAsk): boolean
+  allows? (hostId: string, ask: IAdviceRequest): boolean
   readonly saveMs?: number
   /** Machines that may ask for advice. */
   readonly adviceMachines?: number
   /** How long the advice service takes for a call; no time where it isn't given. */
-  adviceMs? (ask: IAdviceAsk): number
+  adviceMs? (ask: IAdviceRequest): number
   /** How long its answers are on their way. */
   readonly adviceLateMs?: number
   /** How long the hosts take a ticket; without end where it isn't given. */
@@ -130,9 +130,9 @@
       start: async (entry, order) => this._isStale(order.ticket) ? { kind: 'refused', reason: 'ticket' } : this._hostOf(entry.hostId).start({ ...order, fence }),
       stop: async (entry, ref) => this._hostOf(entry.hostId).stop(ref, fence),
       stopUnknown: async (entry, ref) => this._hostOf(entry.hostId).stop(ref, fence),
-      noteFenced: () => {},
+      onFenced: () => {},
       requestPass: () => { this._isPassDue = true },
-      noteTime: () => {},
+      recordDuration: () => {},
       count: () => {},
       machines: () => machines,
       send: async (_machine, ask) => await this._send(ask)
@@ -147,7 +147,7 @@
     })
   }
 
-  private async _send (ask: IAdviceAsk): Promise<AdviceOutcome> {
+  private async _send (ask: IAdviceRequest): Promise<AdviceOutcome> {
     const takesMs = this._options.adviceMs?.(ask) ?? 0
     if (takesMs > 0) await new Promise<void>((resolve) => { this.clock.after(takesMs, resolve) })
     const outcome = this._advise(ask)
@@ -162,7 +162,7 @@
     return isStale
   }
 
-  private _advise (ask: IAdviceAsk): AdviceOutcome {
+  private _advise (ask: IAdviceRequest): AdviceOutcome {
     const allowed = ask.hostIds.filter((hostId) => this._options.allows?.(hostId, ask) ?? true)
     return { kind: 'advised', allowed: allowed.map((hostId) => ({ hostId, ticket: String(this.clock.nowMs()) })) }
   }
@@ -177,7 +177,7 @@
     await settled()
     if (this._isPassDue) {
       this._isPassDue = false
-      this.scheduler.pass()
+      this.scheduler.runPass()
       await settled()
     }
   }
@@ -201,7 +201,7 @@
       const deadlineMs = state.nextDeadline(nowMs, MAX_HOLD_MS, Infinity)
       const answer = host.hold({ fence: this._fence, acknowledgedSequence: state.storedSequence, deadlineMs, waitMs: 0 })
       if (answer === undefined || answer === 'fenced') this.scheduler.noteSilence(state)
-      else this.scheduler.readHold(state, answer, nowMs)
+      else this.scheduler.applyHoldAnswer(state, answer, nowMs)
     }
   }
 
