--- a/src/cell/AnswerLimit.ts
+++ b/src/cell/AnswerTimeout.ts
@@ -6,7 +6,7 @@
  * change owners every few seconds without any progress.
  */
 
-export interface IAnswerLimitOptions {
+export interface IAnswerTimeoutOptions {
   /** Lower bound of the timeout, in ms. */
   readonly minMs: number
   /** Lower bound while there are fewer than `MIN_SAMPLES` answers, in ms. */
@@ -19,10 +19,10 @@
 const MAX_SAMPLES = 40
 const MIN_SAMPLES = 5
 
-export class AnswerLimit {
+export class AnswerTimeout {
   private readonly _samplesMs: number[] = []
 
-  public constructor (private readonly _options: IAnswerLimitOptions) {}
+  public constructor (private readonly _options: IAnswerTimeoutOptions) {}
 
   public recordAnswer (durationMs: number): void {
     this._samplesMs.push(durationMs)
--- a/src/cell/ConfigFeed.ts
+++ b/src/cell/ConfigFeed.ts
@@ -7,7 +7,7 @@
 import type { ILogger } from '../common/observability/Types.js'
 import type { IClock, IDisposable, ITimers } from '../common/Types.js'
 import type { ICellRecords } from './Types.js'
-import { WatchedPrefix } from './WatchedPrefix.js'
+import { PrefixWatcher } from './PrefixWatcher.js'
 
 /**
  * How long a poll waits in the store, in ms. A silent connection is noticed within this time and a second more, and a change has to be in
@@ -19,7 +19,7 @@
   private _config: ICellConfig | undefined
   /** Queues by host name, those with the longest path prefix first. */
   private _queuesByHost = new Map<string, readonly IQueue[]>()
-  private readonly _watch: WatchedPrefix
+  private readonly _watch: PrefixWatcher
   private readonly _changeEmitter = new Emitter<ICellConfig>()
   public readonly onChange = this._changeEmitter.event
 
@@ -29,7 +29,7 @@
     clock: IClock & ITimers,
     private readonly _log: ILogger
   ) {
-    this._watch = new WatchedPrefix(_store, { prefix: _records.operatorPrefix, waitMs: POLL_WAIT_MS }, {
+    this._watch = new PrefixWatcher(_store, { prefix: _records.operatorPrefix, waitMs: POLL_WAIT_MS }, {
       onAll: (items) => { for (const item of items) this._applyItem(item) },
       onChange: (_key, item) => { if (item !== undefined) this._applyItem(item) }
     }, clock, _log)
--- a/src/cell/Handover.test.ts
+++ b/src/cell/Handover.test.ts
@@ -6,7 +6,7 @@
 import { err, ok, ResultAsync } from 'neverthrow'
 import { AmbiguousError } from '../common/Errors.js'
 import { SilentLogger } from '../common/observability/SilentLogger.js'
-import { answerOwnership, handOver } from './Handover.js'
+import { registerOwnershipHandlers, handOver } from './Handover.js'
 
 import type { IPeerHub } from '../peer/Types.js'
 import type { Ownership } from './Ownership.js'
@@ -69,7 +69,7 @@
   const handlers = new Map<string, () => Promise<{ readonly isWilling: boolean }>>()
   const hub = { handle: (name: string, handler: () => Promise<{ readonly isWilling: boolean }>) => { handlers.set(name, handler) } }
   const ownership = { canAcquire: true, isCurrent: false, yieldMs: 0, peerUrl: '', reachesStore: async () => false }
-  answerOwnership(hub as unknown as IPeerHub, ownership as unknown as Ownership)
+  registerOwnershipHandlers(hub as unknown as IPeerHub, ownership as unknown as Ownership)
   t.is((await handlers.get('cellOffer')?.())?.isWilling, false)
   t.is((await handlers.get('cellRelief')?.())?.isWilling, false)
   ownership.isCurrent = true
--- a/src/cell/Handover.ts
+++ b/src/cell/Handover.ts
@@ -24,7 +24,7 @@
 const TAKEOVER_TIMEOUT_MS = 1400
 
 /** Registers the handlers of the peers' calls that concern who owns the cell. */
-export function answerOwnership (handlers: IPeerHandlers, ownership: Ownership): void {
+export function registerOwnershipHandlers (handlers: IPeerHandlers, ownership: Ownership): void {
   handlers.handle('cellReach', async () => ({ isReached: ownership.isOwner && await ownership.reachesStore() }))
   const offer = (isWilling: boolean): ICellOfferReply => ({ isWilling, yieldMs: ownership.yieldMs, peerUrl: ownership.peerUrl })
   handlers.handle('cellOffer', async () => offer(ownership.canAcquire && ownership.isCurrent))
--- a/src/cell/CallerEntry.test.ts
+++ b/src/cell/JobServer.test.ts
@@ -9,9 +9,9 @@
 import { Counters } from '../common/observability/Counters.js'
 import { LatencyTable } from '../common/observability/LatencyTable.js'
 import { SilentLogger } from '../common/observability/SilentLogger.js'
-import { CallerEntry } from './CallerEntry.js'
+import { JobServer } from './JobServer.js'
 
-import type { ICallerEntryContext } from './CallerEntry.js'
+import type { IJobServerContext } from './JobServer.js'
 
 const NEVER = new Promise<never>(() => {})
 
@@ -19,9 +19,9 @@
 
 const CONFIG = { config: { maxBodyBytes: 1000 }, version: 1, ageMs: 0, isCurrent: true, findQueue: () => ({ name: 'queue', pathPrefix: '/queue/' }) }
 
-function setUp (route: Promise<object> = Promise.resolve(SILENT_ROUTE), config: object = CONFIG): CallerEntry {
+function setUp (route: Promise<object> = Promise.resolve(SILENT_ROUTE), config: object = CONFIG): JobServer {
   const job = { jobId: 'j', description: '', occurrences: 0, steps: [] }
-  return new CallerEntry({
+  return new JobServer({
     wire: { isJobId: () => true, decodeJob: () => ok(job), remainingMs: () => 3000 },
     config,
     route,
@@ -29,7 +29,7 @@
     log: new SilentLogger(),
     times: new LatencyTable(20),
     counters: new Counters()
-  } as unknown as ICallerEntryContext)
+  } as unknown as IJobServerContext)
 }
 
 test('a stopping process answers its open requests instead of closing their connections', async (t) => {
--- a/src/cell/CallerEntry.ts
+++ b/src/cell/JobServer.ts
@@ -17,7 +17,7 @@
 import type { IncomingMessage, Server, ServerResponse } from 'node:http'
 import type { AddressInfo } from 'node:net'
 
-export interface ICallerEntryContext {
+export interface IJobServerContext {
   readonly wire: ICallerWire
   readonly config: ConfigFeed
   /** Resolves once this process can reach its peers. Requests are accepted before that. */
@@ -51,14 +51,14 @@
   readonly receivedAtMs: MonotonicMs
 }
 
-export class CallerEntry {
+export class JobServer {
   private readonly _server: Server
   /** Requests that have not been answered yet. */
   private readonly _openRequests = new Map<ServerResponse, IncomingMessage>()
   private _isClosing = false
   private _route: OwnerRoute | undefined
 
-  public constructor (private readonly _context: ICallerEntryContext) {
+  public constructor (private readonly _context: IJobServerContext) {
     this._server = createServer({
       keepAliveTimeout: KEEP_ALIVE_MS, headersTimeout: HEADERS_TIMEOUT_MS, requestTimeout: HEADERS_TIMEOUT_MS, maxHeaderSize: MAX_HEADER_BYTES
     }, (request, response) => {
--- a/src/cell/MemberCalls.ts
+++ b/src/cell/OwnerAnnouncer.ts
@@ -34,7 +34,7 @@
 }
 
 /** While this process owns the cell: sends its record to each peer that links up, and dials those that don't. */
-export class MemberCalls implements IDisposable {
+export class OwnerAnnouncer implements IDisposable {
   private readonly _disposables: IDisposable[] = []
 
   public constructor (
--- a/src/cell/OwnerWatch.ts
+++ b/src/cell/OwnerExitDetector.ts
@@ -17,7 +17,7 @@
 const TAKEOVER_JITTER_MS = 150
 const PROBE_TIMEOUT_MS = 500
 
-export class OwnerWatch implements IDisposable {
+export class OwnerExitDetector implements IDisposable {
   private readonly _subscription: IDisposable
 
   public constructor (
--- a/src/cell/OwnerCalls.ts
+++ b/src/cell/OwnerHandlers.ts
@@ -9,7 +9,7 @@
 import type { ILocalOwner } from './OwnerRoute.js'
 
 /** Registers the handlers; `owner` returns the owner while it is this process. */
-export function answerPeers (hub: IPeerHandlers, owner: () => ILocalOwner | undefined, adviser: IAdviceService): void {
+export function registerOwnerHandlers (hub: IPeerHandlers, owner: () => ILocalOwner | undefined, adviser: IAdviceService): void {
   hub.handle('cellSubmit', async (ask) => {
     return toSubmitReply(await (await awaitReadyOwner(owner, 'cellSubmit')).submit(ask))
   })
--- a/src/cell/OwnerIsolation.test.ts
+++ b/src/cell/OwnerIsolationDetector.test.ts
@@ -8,7 +8,7 @@
 import { Emitter } from '../common/Emitter.js'
 import { SilentLogger } from '../common/observability/SilentLogger.js'
 import { advance } from '../../test/support/advance.js'
-import { OwnerIsolation } from './OwnerIsolation.js'
+import { OwnerIsolationDetector } from './OwnerIsolationDetector.js'
 
 import type { ExecutionContext } from 'ava'
 import type { IPeerHub } from '../peer/Types.js'
@@ -30,7 +30,7 @@
   } as unknown as IPeerHub
   const owner = { isOwner: true, isConfirmed: true }
   const isolations: number[] = []
-  const isolation = new OwnerIsolation(hub, owner, (silent) => { isolations.push(silent) }, clock, new SilentLogger())
+  const isolation = new OwnerIsolationDetector(hub, owner, (silent) => { isolations.push(silent) }, clock, new SilentLogger())
   t.teardown(() => { isolation.dispose() })
   return {
     clock,
--- a/src/cell/OwnerIsolation.ts
+++ b/src/cell/OwnerIsolationDetector.ts
@@ -23,7 +23,7 @@
 /** A reachable peer answers from memory within this time, in ms: six round trips between regions. */
 const LINKS_TIMEOUT_MS = 250
 
-export class OwnerIsolation implements IDisposable {
+export class OwnerIsolationDetector implements IDisposable {
   /** Ids of the peers whose links have fallen silent. */
   private readonly _silentPeers = new Set<string>()
   private readonly _registrations: readonly IDisposable[]
--- a/src/cell/Ownership.ts
+++ b/src/cell/Ownership.ts
@@ -9,7 +9,7 @@
 import type { IClock, IDisposable, IProcessIdentity, IRandom, ITimers, MonotonicMs } from '../common/Types.js'
 import { CONTROL_PREFIX, OWNER_KEY } from './Keys.js'
 import type { IOwnerRecord } from './Types.js'
-import { WatchedPrefix } from './WatchedPrefix.js'
+import { PrefixWatcher } from './PrefixWatcher.js'
 
 export interface IOwnershipOptions {
   readonly self: IProcessIdentity
@@ -65,13 +65,13 @@
   private _storeLatencyMs = Infinity
   private _isStopping = false
   private _asideUntilMs: MonotonicMs = -Infinity
-  private readonly _watch: WatchedPrefix
+  private readonly _watch: PrefixWatcher
   private readonly _recordEmitter = new Emitter<IOwnerRecord | undefined>()
   private readonly _ownedEmitter = new Emitter<number>()
   private readonly _lostEmitter = new Emitter<string>()
   private readonly _confirmedEmitter = new Emitter<MonotonicMs>()
   /** The record has changed; undefined if the cell has no owner. */
-  public readonly onRecord = this._recordEmitter.event
+  public readonly onRecordChange = this._recordEmitter.event
   /** This process has become the owner; passes its fencing token. */
   public readonly onOwned = this._ownedEmitter.event
   public readonly onLost = this._lostEmitter.event
@@ -85,7 +85,7 @@
     private readonly _random: IRandom,
     private readonly _log: ILogger
   ) {
-    this._watch = new WatchedPrefix(_store, { prefix: CONTROL_PREFIX, waitMs: POLL_WAIT_MS }, {
+    this._watch = new PrefixWatcher(_store, { prefix: CONTROL_PREFIX, waitMs: POLL_WAIT_MS }, {
       onAll: (items, revision) => {
         if (this._storeLatencyMs === Infinity) this._measureStoreLatency()
         this._storeLatencyMs = Math.min(this._storeLatencyMs, this._watch.readMs)
@@ -146,7 +146,7 @@
   /** Takes the cell over from an owner that asks for it. Resolves to whether this process owns the cell afterwards. */
   public async acceptHandover (owner: IOwnerRecord): Promise<boolean> {
     if (!this.canAcquire) return false
-    this.noteRecord(owner)
+    this.receiveRecord(owner)
     if (this._record?.revision === owner.revision) await this._acquire(owner.revision)
     return this.isOwner
   }
@@ -234,7 +234,7 @@
   }
 
   /** Applies a record that the owner itself has sent, since this process may be cut off from the store. */
-  public noteRecord (record: IOwnerRecord): void {
+  public receiveRecord (record: IOwnerRecord): void {
     if (this._record !== undefined && record.revision <= this._record.revision) return
     this._record = record
     this._log.info('owner.told', { owner: record.processId, revision: record.revision })
--- a/src/cell/WatchedPrefix.ts
+++ b/src/cell/PrefixWatcher.ts
@@ -38,7 +38,7 @@
   readonly reason: string
 }
 
-export class WatchedPrefix implements IDisposable {
+export class PrefixWatcher implements IDisposable {
   private readonly _abort = new AbortController()
   private _failures = 0
   private _outage: IOutage | undefined
--- a/src/cell/Standby.ts
+++ b/src/cell/Standby.ts
@@ -17,7 +17,7 @@
 import type { IPeerHub, IPeerLink } from '../peer/Types.js'
 import { requestOffer } from './Handover.js'
 import type { Ownership } from './Ownership.js'
-import { AnswerLimit } from './AnswerLimit.js'
+import { AnswerTimeout } from './AnswerTimeout.js'
 import type { IOwnerRecord } from './Types.js'
 
 /** How often an owner checks whether there is a standby, in ms; first when most processes have found the owner. */
@@ -34,7 +34,7 @@
 const WITNESS_SLACK_MS = 100
 
 /** On the owner: names a standby whenever there is none, and announces it to all peers. */
-export class StandbyChoice implements IDisposable {
+export class StandbySelector implements IDisposable {
   private readonly _disposables = new DisposableStore()
   private _standby: ICellStandbyCast | undefined
 
@@ -96,7 +96,7 @@
 
   private async _watchOwner (revision: number): Promise<void> {
     this._log.info('standby.began', { revision })
-    const limit = new AnswerLimit(PING_LIMIT)
+    const limit = new AnswerTimeout(PING_LIMIT)
     for (;;) {
       await new Promise<void>((resolve) => { this._clock.after(PING_INTERVAL_MS, resolve) })
       const { record } = this._ownership
@@ -113,7 +113,7 @@
     }
   }
 
-  private async _ping (link: IPeerLink, limit: AnswerLimit): Promise<boolean> {
+  private async _ping (link: IPeerLink, limit: AnswerTimeout): Promise<boolean> {
     const sentAtMs = this._clock.nowMs()
     const isAnswered = await answersPing(link, PING_TIMEOUT_MS)
     if (isAnswered) limit.recordAnswer(this._clock.nowMs() - sentAtMs)
--- a/src/cell/OwnerRelief.test.ts
+++ b/src/cell/StoreLossHandover.test.ts
@@ -8,7 +8,7 @@
 import { Emitter } from '../common/Emitter.js'
 import { SilentLogger } from '../common/observability/SilentLogger.js'
 import { advance } from '../../test/support/advance.js'
-import { OwnerRelief } from './OwnerRelief.js'
+import { StoreLossHandover } from './StoreLossHandover.js'
 
 import type { ExecutionContext } from 'ava'
 import type { Result } from 'neverthrow'
@@ -47,7 +47,7 @@
   const confirmed = new Emitter<number>()
   const reachesStore = async (): Promise<boolean> => await after(times.owner, true)
   const ownership = { record: RECORD, onConfirmed: confirmed.event, confirmedAtMs: clock.nowMs(), reachesStore }
-  const relief = new OwnerRelief(hub as unknown as IPeerHub, ownership, RECORD, clock, new SilentLogger())
+  const relief = new StoreLossHandover(hub as unknown as IPeerHub, ownership, RECORD, clock, new SilentLogger())
   t.teardown(() => { relief.dispose() })
   /** The store confirms the owner now, `durationMs` after the request. */
   const confirm = (durationMs: number): void => {
--- a/src/cell/OwnerRelief.ts
+++ b/src/cell/StoreLossHandover.ts
@@ -8,7 +8,7 @@
 
 import { chooseSuccessor } from '../common/cell/Successor.js'
 import { DisposableStore } from '../common/Emitter.js'
-import { AnswerLimit } from './AnswerLimit.js'
+import { AnswerTimeout } from './AnswerTimeout.js'
 import { requestOffer, requestTakeover } from './Handover.js'
 import { RENEW_INTERVAL_MS } from './Ownership.js'
 
@@ -29,9 +29,9 @@
 /** Shortest interval between two requests to the peers, in ms. */
 const MIN_ASK_INTERVAL_MS = 1000
 
-export class OwnerRelief implements IDisposable {
+export class StoreLossHandover implements IDisposable {
   private readonly _disposables = new DisposableStore()
-  private readonly _limit = new AnswerLimit(CONFIRMATION_LIMIT)
+  private readonly _limit = new AnswerTimeout(CONFIRMATION_LIMIT)
   private _askedAtMs: MonotonicMs = -Infinity
 
   /** @param _record the ownership to hand over; the object is disposed when that ownership ends */
--- a/src/daemon/ControllerDaemon.ts
+++ b/src/daemon/ControllerDaemon.ts
@@ -5,20 +5,20 @@
 
 import { createServer } from 'node:http'
 import { randomInt } from 'node:crypto'
-import { CallerEntry } from '../cell/CallerEntry.js'
+import { JobServer } from '../cell/JobServer.js'
 import { CellOwner } from '../cell/CellOwner.js'
 import { ConfigFeed } from '../cell/ConfigFeed.js'
-import { answerOwnership, handOver } from '../cell/Handover.js'
+import { registerOwnershipHandlers, handOver } from '../cell/Handover.js'
 import { readLinkSecret } from '../cell/LinkSecret.js'
-import { MemberCalls, registerMember } from '../cell/MemberCalls.js'
-import { answerPeers } from '../cell/OwnerCalls.js'
+import { OwnerAnnouncer, registerMember } from '../cell/OwnerAnnouncer.js'
+import { registerOwnerHandlers } from '../cell/OwnerHandlers.js'
 import { OwnerChallenge } from '../cell/OwnerChallenge.js'
-import { OwnerIsolation } from '../cell/OwnerIsolation.js'
-import { OwnerRelief } from '../cell/OwnerRelief.js'
+import { OwnerIsolationDetector } from '../cell/OwnerIsolationDetector.js'
+import { StoreLossHandover } from '../cell/StoreLossHandover.js'
 import { OwnerRoute } from '../cell/OwnerRoute.js'
 import { Ownership } from '../cell/Ownership.js'
-import { OwnerWatch } from '../cell/OwnerWatch.js'
-import { StandbyChoice, StandbyWatch } from '../cell/Standby.js'
+import { OwnerExitDetector } from '../cell/OwnerExitDetector.js'
+import { StandbySelector, StandbyWatch } from '../cell/Standby.js'
 import { SystemClock } from '../common/Clock.js'
 import { DisposableStore } from '../common/Emitter.js'
 import { Counters } from '../common/observability/Counters.js'
@@ -88,10 +88,10 @@
   private _hub: PeerHub | undefined
   private _ownership: Ownership | undefined
   private _owner: CellOwner | undefined
-  private _memberCalls: MemberCalls | undefined
-  private _standbyChoice: StandbyChoice | undefined
-  private _relief: OwnerRelief | undefined
-  private _entry: CallerEntry | undefined
+  private _memberCalls: OwnerAnnouncer | undefined
+  private _standbyChoice: StandbySelector | undefined
+  private _relief: StoreLossHandover | undefined
+  private _entry: JobServer | undefined
   private _route: OwnerRoute | undefined
   private _noteRoute: (route: OwnerRoute) => void = () => {}
   private _readiness: Server | undefined
@@ -133,15 +133,15 @@
     }, this._clock)
     this._route = route
     this._noteRoute(route)
-    answerPeers(hub, () => this._owner, this._adviser)
-    answerOwnership(hub, ownership)
-    this._disposables.add(hub.listen('cellOwner', (record) => { ownership.noteRecord(record) }))
-    this._disposables.add(ownership.onRecord((record) => { route.follow(record) }))
+    registerOwnerHandlers(hub, () => this._owner, this._adviser)
+    registerOwnershipHandlers(hub, ownership)
+    this._disposables.add(hub.listen('cellOwner', (record) => { ownership.receiveRecord(record) }))
+    this._disposables.add(ownership.onRecordChange((record) => { route.follow(record) }))
     this._disposables.add(ownership.onOwned((revision) => { this._own(revision) }))
     this._disposables.add(ownership.onLost(() => { this._disown() }))
     this._disposables.add(new StandbyWatch(hub, ownership, this._clock, this._log))
-    this._disposables.add(new OwnerWatch(hub, ownership, this._clock, this._random, this._log))
-    this._disposables.add(new OwnerIsolation(hub, ownership, (silent) => { this._stepAside(silent) }, this._clock, this._log))
+    this._disposables.add(new OwnerExitDetector(hub, ownership, this._clock, this._random, this._log))
+    this._disposables.add(new OwnerIsolationDetector(hub, ownership, (silent) => { this._stepAside(silent) }, this._clock, this._log))
     ownership.start()
     registerMember(this._store, hub, peerUrl.value, this._clock, this._log)
     const metricsUrl = await this._metrics.listen(this._settings.metrics.listen)
@@ -233,9 +233,9 @@
     this._relief?.dispose()
     const { record } = this._ownership
     if (record !== undefined && this._hub !== undefined) {
-      this._memberCalls = new MemberCalls(this._store, this._hub, record, this._clock, this._log)
-      this._standbyChoice = new StandbyChoice(this._hub, record, this._clock, this._log)
-      this._relief = new OwnerRelief(this._hub, this._ownership, record, this._clock, this._log)
+      this._memberCalls = new OwnerAnnouncer(this._store, this._hub, record, this._clock, this._log)
+      this._standbyChoice = new StandbySelector(this._hub, record, this._clock, this._log)
+      this._relief = new StoreLossHandover(this._hub, this._ownership, record, this._clock, this._log)
     }
     this._owner = new CellOwner({
       store: this._store,
@@ -280,7 +280,7 @@
   private async _listenForCallers (): Promise<string> {
     const { ip, port } = this._settings.callers.listen
     const route = new Promise<OwnerRoute>((resolve) => { this._noteRoute = resolve })
-    this._entry = new CallerEntry({
+    this._entry = new JobServer({
       wire: callerWire, config: this._config, route, clock: this._clock, log: this._log, times: this._times, counters: this._counters
     })
     return await this._entry.listen(ip, port)
