--- a/bench/decisions/Baselines.ts
+++ b/bench/decisions/Baselines.ts
@@ -25,7 +25,7 @@
   }
 
   protected override _chooseHost (item: IWorkItem): INaiveHost | undefined {
-    const hosts = [...this._hosts.values()].filter((host) => this._hasRoom(host, item))
+    const hosts = [...this._hosts.values()].filter((host) => this._hasCapacityFor(host, item))
     return hosts[Math.floor(this._random.next() * hosts.length)]
   }
 }
@@ -84,7 +84,7 @@
     return []
   }
 
-  public override finished (itemId: string, _end: AttemptEnd, _serviceMs: number): void {
+  public override recordEnd (itemId: string, _end: AttemptEnd, _serviceMs: number): void {
     const started = this._started.get(itemId)
     if (started === undefined) return
     this._started.delete(itemId)
--- a/bench/decisions/LoadedEngine.ts
+++ b/bench/decisions/LoadedEngine.ts
@@ -75,7 +75,7 @@
     const last = this._running.pop()
     if (ended === undefined || last === undefined) return 0
     if (ended !== last) this._running[index] = last
-    this._engine.finished(ended, 'succeeded', RUN_MS)
+    this._engine.recordEnd(ended, 'succeeded', RUN_MS)
     this._admit(isLarge)
     return this._decide()
   }
--- a/bench/decisions/ManyCallers.ts
+++ b/bench/decisions/ManyCallers.ts
@@ -43,7 +43,7 @@
       idempotent: true
     })
     if (!decision.admitted) counts.refused += 1
-    if (i % 2 === 0) engine.finished(running.shift() ?? '', 'succeeded', RUN_MS)
+    if (i % 2 === 0) engine.recordEnd(running.shift() ?? '', 'succeeded', RUN_MS)
     carryOut(engine, running, counts)
     if (i % (REQUESTS / SAMPLES) === 0) heapMegabytes.push(heapNow())
   }
--- a/bench/decisions/Speed.ts
+++ b/bench/decisions/Speed.ts
@@ -117,7 +117,7 @@
     engine.cancel(`item-${i + 240}`)
     if (i % 100 !== 0) continue
     const pauseStartedMs = performance.now()
-    engine.finished(running.shift() ?? '', 'succeeded', 100)
+    engine.recordEnd(running.shift() ?? '', 'succeeded', 100)
     place(engine, running)
     worstPauseMs = Math.max(worstPauseMs, performance.now() - pauseStartedMs)
   }
--- a/bench/decisions/VirtualRun.ts
+++ b/bench/decisions/VirtualRun.ts
@@ -245,7 +245,7 @@
     const runMs = this._clock.atMs - running.startedAtMs
     if (end === 'succeeded') this.outcomes.noteServed(item, this._measuredPart(running))
     if (end === 'failed') this.outcomes.lost += 1
-    this._engine.finished(item.id, end, runMs)
+    this._engine.recordEnd(item.id, end, runMs)
   }
 
   private _measuredPart (running: IRunningWork): number {
--- a/src/common/policy/Admission.test.ts
+++ b/src/common/policy/Admission.test.ts
@@ -32,7 +32,7 @@
       if (running !== undefined && clock.nowMs() >= endsAtMs) {
         const { id } = running
         running = undefined
-        engine.finished(id, 'succeeded', SERVICE_MS)
+        engine.recordEnd(id, 'succeeded', SERVICE_MS)
       }
       applyDecisions()
     }
--- a/src/common/policy/Admission.ts
+++ b/src/common/policy/Admission.ts
@@ -3,7 +3,7 @@
  */
 
 import { DrainRate } from './DrainRate.js'
-import { ReturnBook } from './ReturnBook.js'
+import { RetryPromises } from './RetryPromises.js'
 
 import type { IClock, IRandom, MonotonicMs, OutcomeReason } from '../Types.js'
 import type { ProfileQueue } from './ProfileQueue.js'
@@ -47,7 +47,7 @@
 
 interface IProfileState {
   readonly rate: DrainRate
-  readonly promises: ReturnBook
+  readonly promises: RetryPromises
 }
 
 export class Admission {
@@ -117,7 +117,7 @@
   }
 
   /** The smaller of the whole queue's wait and the caller's own wait if the profile were shared evenly among its callers. */
-  private _waitMs (request: IAdmissionRequest, perMs: number, promised: ReturnBook | undefined): number {
+  private _waitMs (request: IAdmissionRequest, perMs: number, promised: RetryPromises | undefined): number {
     const { queue, item, costMs } = request
     const callerState = queue.caller(item.caller)
     const totalCostMs = queue.queuedCostMs + (promised?.costMs ?? 0)
@@ -129,7 +129,7 @@
   private _stateOf (profile: string): IProfileState {
     const known = this._states.get(profile)
     if (known !== undefined) return known
-    const state: IProfileState = { rate: new DrainRate(), promises: new ReturnBook() }
+    const state: IProfileState = { rate: new DrainRate(), promises: new RetryPromises() }
     this._states.set(profile, state)
     return state
   }
--- a/src/common/policy/RoomForecast.ts
+++ b/src/common/policy/CapacityForecast.ts
@@ -5,7 +5,7 @@
 import { addInto, difference, dominantShare, zeroResources } from './Resources.js'
 
 import type { CapacityLedger, LedgerHost } from './CapacityLedger.js'
-import type { IGroup } from './GroupBook.js'
+import type { IGroup } from './GroupStore.js'
 
 /** The lower limit of the share of work that is left, which keeps the logarithm finite. */
 const MIN_LEFT_SHARE = 0.01
@@ -13,7 +13,7 @@
 /** The lower limit of the turnover, for when nothing ends at all. */
 const MIN_TURNOVER_PER_MS = 1e-9
 
-export class RoomForecast {
+export class CapacityForecast {
   /** @param _turnoverPerMs the share of the capacity in use that comes free per millisecond */
   public constructor (private readonly _ledger: CapacityLedger, private readonly _turnoverPerMs: () => number) {}
 
--- a/src/common/policy/DecisionEngine.test.ts
+++ b/src/common/policy/DecisionEngine.test.ts
@@ -44,7 +44,7 @@
   t.deepEqual(placed(engine), { first: 'gpu' })
   engine.admit(work('accelerated', { resources: { cores: 1, memoryBytes: 1, accelerators: 1 } }))
   t.deepEqual(placed(engine), { accelerated: 'gpu' })
-  engine.finished('accelerated', 'succeeded', 10)
+  engine.recordEnd('accelerated', 'succeeded', 10)
   engine.admit(work('second'))
   t.deepEqual(placed(engine), {})
   clock.advance(engine.nextWakeAtMs() - clock.nowMs())
@@ -75,7 +75,7 @@
   placed(engine)
   t.like(engine.admit(work('runs')), { admitted: false, reason: 'duplicate' })
   t.like(engine.admit(work('waits')), { admitted: false, reason: 'duplicate' })
-  engine.finished('runs', 'succeeded', 1)
+  engine.recordEnd('runs', 'succeeded', 1)
   t.deepEqual(placed(engine), { waits: 'h1' })
 })
 
@@ -86,7 +86,7 @@
   const running = Object.keys(placed(engine))
   t.is(running.filter((id) => id.startsWith('q')).length, 3)
   t.is(running.filter((id) => id.startsWith('l')).length, 2)
-  engine.finished('q0', 'succeeded', 10)
+  engine.recordEnd('q0', 'succeeded', 10)
   t.is(Object.keys(placed(engine)).length, 1)
 })
 
@@ -95,7 +95,7 @@
   admitAll(engine, ...workItems(3, 's'))
   t.is(Object.keys(placed(engine)).length, 2)
   engine.putHost(host('h1', cores(2), { accepting: false }))
-  engine.finished('s0', 'succeeded', 10)
+  engine.recordEnd('s0', 'succeeded', 10)
   t.deepEqual(placed(engine), {})
   t.is(engine.load().running, 1)
 })
@@ -138,7 +138,7 @@
   clock.advance(engine.nextWakeAtMs())
   const stopped = decisions(engine).flatMap((decision) => decision.type === 'preempt' ? [decision.itemId] : [])
   t.is(stopped.length, 2)
-  for (const id of stopped) engine.finished(id, 'stopped', 100)
+  for (const id of stopped) engine.recordEnd(id, 'stopped', 100)
   t.deepEqual(Object.keys(placed(engine)).sort(), ['u0', 'u1'])
   clock.advance(1_000)
   t.deepEqual(decisions(engine), [], 'no work of a profile at its floor is stopped')
@@ -160,7 +160,7 @@
       const fails = hostId === 'h0' && isBroken
       if (fails) lost += 1
       if (hostId === 'h0') placedOnBroken += 1
-      engine.finished(id, fails ? 'failed' : 'succeeded', 1)
+      engine.recordEnd(id, fails ? 'failed' : 'succeeded', 1)
     }
     clock.advance(5)
     if (i === 2_000) {
@@ -176,7 +176,7 @@
   const { clock, engine } = engineWith('slots', ...Array.from({ length: 10 }, (_, i) => host(`h${i}`, cores(4))))
   for (let i = 0; i < 500; i++) {
     engine.admit(work(`r${i}`))
-    for (const id of Object.keys(placed(engine))) engine.finished(id, 'failed', 1)
+    for (const id of Object.keys(placed(engine))) engine.recordEnd(id, 'failed', 1)
     clock.advance(5)
   }
   t.deepEqual(engine.dump()['onProbation'], [])
@@ -186,9 +186,9 @@
   const { engine } = engineWith('slots', host('h1', cores(1)))
   for (const item of workItems(2, 's')) engine.adopt(item, 'h1')
   engine.admit(work('new'))
-  engine.finished('s0', 'succeeded', 1)
+  engine.recordEnd('s0', 'succeeded', 1)
   t.deepEqual(placed(engine), {})
-  engine.finished('s1', 'succeeded', 1)
+  engine.recordEnd('s1', 'succeeded', 1)
   t.deepEqual(placed(engine), { new: 'h1' })
 })
 
--- a/src/common/policy/DecisionEngine.ts
+++ b/src/common/policy/DecisionEngine.ts
@@ -7,7 +7,7 @@
 import { DecisionLoop } from './DecisionLoop.js'
 import { EngineReport, MAX_DUMPED } from './EngineReport.js'
 import { classRank, FairQueue } from './FairQueue.js'
-import { GroupBook } from './GroupBook.js'
+import { GroupStore } from './GroupStore.js'
 import { GroupPlacer } from './GroupPlacer.js'
 import { HostChooser } from './HostChooser.js'
 import { coreLevel, memoryLevel } from './HostGrid.js'
@@ -16,19 +16,19 @@
 import { Feasibility } from './Feasibility.js'
 import { GiveUpFinder } from './GiveUpFinder.js'
 import { HostIndex } from './HostIndex.js'
-import { Preemption } from './Preemption.js'
-import { RoomForecast } from './RoomForecast.js'
+import { VictimSelector } from './VictimSelector.js'
+import { CapacityForecast } from './CapacityForecast.js'
 import { RunningWork } from './RunningWork.js'
-import { UseLedger } from './UseLedger.js'
+import { UsageTracker } from './UsageTracker.js'
 import { WorkEstimates } from './WorkEstimates.js'
 
 import type { IClock, IRandom, IResources, MonotonicMs } from '../Types.js'
 import type { ITeamConfig } from '../config/Types.js'
 import type { IHostObserver, LedgerHost } from './CapacityLedger.js'
-import type { IGroupTask } from './GroupBook.js'
+import type { IGroupTask } from './GroupStore.js'
 import type { ILaneKey } from './QueueTypes.js'
 import type { AdmitDecision, AttemptEnd, EngineDecision, IDecisionEngine, IEngineHost, IEngineLoad, IWorkItem } from './Types.js'
-import type { CapacityKind } from './UseLedger.js'
+import type { CapacityKind } from './UsageTracker.js'
 
 /**
  * While the share of free slots is no larger than this (four of 240), they are kept from callers far above their even
@@ -48,8 +48,8 @@
   private readonly _feasibility = new Feasibility(this._ledger)
   private readonly _health = new HostHealth()
   private readonly _estimates = new WorkEstimates(this._ledger)
-  private readonly _groupStore: GroupBook
-  private readonly _usage: UseLedger
+  private readonly _groupStore: GroupStore
+  private readonly _usage: UsageTracker
   private readonly _queue: FairQueue
   private readonly _admission: Admission
   private readonly _runningWork: RunningWork
@@ -58,17 +58,17 @@
   private readonly _report: EngineReport
 
   public constructor (private readonly _clock: IClock, random: IRandom, options: IEngineOptions = { kind: 'resources' }) {
-    const victimSelector = new Preemption()
+    const victimSelector = new VictimSelector()
     this._accelerators = new AcceleratorReserve(_clock)
     this._index = new HostIndex(this._accelerators)
     const chooser = new HostChooser(options.kind, this._ledger, this._index, this._health)
-    this._groupStore = new GroupBook(this._ledger, chooser)
-    this._usage = new UseLedger(options.kind)
+    this._groupStore = new GroupStore(this._ledger, chooser)
+    this._usage = new UsageTracker(options.kind)
     this._queue = new FairQueue(this._usage, this._ledger.capacity, () => options.kind === 'slots' && this._isScarce())
     this._admission = new Admission(_clock, random)
     this._report = new EngineReport(this._ledger, this._index, this._usage, this._queue, this._groupStore, this._admission)
     this._runningWork = new RunningWork(_clock, this._ledger, this._usage, this._queue, chooser, victimSelector)
-    const forecast = new RoomForecast(this._ledger, () => this._runningWork.turnoverPerMs())
+    const forecast = new CapacityForecast(this._ledger, () => this._runningWork.turnoverPerMs())
     this._groupPlacer = new GroupPlacer(this._groupStore, this._ledger, this._usage, chooser, forecast)
     this._loop = new DecisionLoop({
       clock: _clock,
@@ -172,7 +172,7 @@
     return this._loop.nextWakeAtMs()
   }
 
-  public finished (itemId: string, end: AttemptEnd, serviceMs: number): void {
+  public recordEnd (itemId: string, end: AttemptEnd, serviceMs: number): void {
     const running = this._runningWork.end(itemId, serviceMs)
     if (running === undefined) return
     const { item, host } = running
--- a/src/common/policy/DecisionLoop.ts
+++ b/src/common/policy/DecisionLoop.ts
@@ -4,8 +4,8 @@
  */
 
 import { classRank } from './FairQueue.js'
-import { PREEMPT_AFTER_MS } from './Preemption.js'
-import { StopPlan } from './StopPlan.js'
+import { PREEMPT_AFTER_MS } from './VictimSelector.js'
+import { PreemptionPlanner } from './PreemptionPlanner.js'
 
 import type { IClock, IResources, MonotonicMs, OutcomeReason } from '../Types.js'
 import type { AcceleratorReserve } from './AcceleratorReserve.js'
@@ -13,16 +13,16 @@
 import type { CapacityLedger, LedgerHost } from './CapacityLedger.js'
 import type { FairQueue } from './FairQueue.js'
 import type { GiveUpFinder } from './GiveUpFinder.js'
-import type { GroupBook, IGroup } from './GroupBook.js'
+import type { GroupStore, IGroup } from './GroupStore.js'
 import type { GroupPlacer } from './GroupPlacer.js'
 import type { HostChooser } from './HostChooser.js'
 import type { HostHealth } from './HostHealth.js'
-import type { Preemption } from './Preemption.js'
+import type { VictimSelector } from './VictimSelector.js'
 import type { ProfileQueue } from './ProfileQueue.js'
 import type { ILaneKey, IQueueEntry } from './QueueTypes.js'
 import type { IStart, RunningWork } from './RunningWork.js'
 import type { EngineDecision, IWorkItem } from './Types.js'
-import type { UseLedger } from './UseLedger.js'
+import type { UsageTracker } from './UsageTracker.js'
 import type { WorkEstimates } from './WorkEstimates.js'
 
 /** A large item that has waited this long has a host drained for it, like an all-at-once job of one task. */
@@ -35,7 +35,7 @@
 export interface ILoopComponents {
   readonly clock: IClock
   readonly ledger: CapacityLedger
-  readonly usage: UseLedger
+  readonly usage: UsageTracker
   readonly queue: FairQueue
   readonly admission: Admission
   readonly estimates: WorkEstimates
@@ -43,9 +43,9 @@
   readonly health: HostHealth
   readonly accelerators: AcceleratorReserve
   readonly giveUpFinder: GiveUpFinder
-  readonly victimSelector: Preemption
+  readonly victimSelector: VictimSelector
   readonly runningWork: RunningWork
-  readonly groupStore: GroupBook
+  readonly groupStore: GroupStore
   readonly groupPlacer: GroupPlacer
   /** The share of the capacity that a profile could use now. */
   readonly priorRate: (queue: ProfileQueue) => number
@@ -56,7 +56,7 @@
   /** Shapes and teams for which no capacity was found since capacity last came free. */
   private readonly _blockedShapes = new Set<string>()
   private readonly _blockedTeams = new Set<string>()
-  private readonly _preemptionPlanner: StopPlan
+  private readonly _preemptionPlanner: PreemptionPlanner
   private readonly _isLaneBlocked = (lane: ILaneKey): boolean => this._blockedShapes.has(lane.shape) || this._blockedTeams.has(lane.team)
   /** Until this time there is nothing to decide, unless an event arrives. */
   private _idleUntilMs: MonotonicMs = -Infinity
@@ -65,7 +65,7 @@
 
   public constructor (private readonly _components: ILoopComponents) {
     const { ledger, usage, queue, victimSelector } = _components
-    this._preemptionPlanner = new StopPlan(ledger, usage, queue, victimSelector)
+    this._preemptionPlanner = new PreemptionPlanner(ledger, usage, queue, victimSelector)
   }
 
   public next (): EngineDecision | undefined {
--- a/src/common/policy/EngineDifferential.test.ts
+++ b/src/common/policy/EngineDifferential.test.ts
@@ -8,7 +8,7 @@
 import { NaiveEngine } from './NaiveEngine.js'
 
 import type { IDecisionEngine } from './Types.js'
-import type { CapacityKind } from './UseLedger.js'
+import type { CapacityKind } from './UsageTracker.js'
 
 const HOSTS = ['h0', 'h1', 'h2', 'h3']
 const HOST_CORES = 8
@@ -91,7 +91,7 @@
   private _finish (id: string | undefined): void {
     if (id === undefined) return
     this.running.delete(id)
-    this._engine.finished(id, 'succeeded', 1_000)
+    this._engine.recordEnd(id, 'succeeded', 1_000)
   }
 
   private _cancel (id: string | undefined): void {
--- a/src/common/policy/EngineReport.ts
+++ b/src/common/policy/EngineReport.ts
@@ -7,11 +7,11 @@
 import type { Admission } from './Admission.js'
 import type { CapacityLedger } from './CapacityLedger.js'
 import type { FairQueue } from './FairQueue.js'
-import type { GroupBook } from './GroupBook.js'
+import type { GroupStore } from './GroupStore.js'
 import type { HostIndex } from './HostIndex.js'
 import type { ProfileQueue } from './ProfileQueue.js'
 import type { IEngineLoad } from './Types.js'
-import type { UseLedger } from './UseLedger.js'
+import type { UsageTracker } from './UsageTracker.js'
 
 /** The maximum number of entries of each kind in a dump. */
 export const MAX_DUMPED = 100
@@ -20,9 +20,9 @@
   public constructor (
     private readonly _ledger: CapacityLedger,
     private readonly _index: HostIndex,
-    private readonly _usage: UseLedger,
+    private readonly _usage: UsageTracker,
     private readonly _queue: FairQueue,
-    private readonly _groupStore: GroupBook,
+    private readonly _groupStore: GroupStore,
     private readonly _admission: Admission
   ) {}
 
--- a/src/common/policy/FairQueue.test.ts
+++ b/src/common/policy/FairQueue.test.ts
@@ -3,15 +3,15 @@
 
 import { FairQueue } from './FairQueue.js'
 import { cores, profile, work } from '../../../test/policy/TestWork.js'
-import { UseLedger } from './UseLedger.js'
+import { UsageTracker } from './UsageTracker.js'
 
 import type { IProfile } from '../config/Types.js'
 import type { IQueueEntry } from './QueueTypes.js'
 
 const CAPACITY = cores(100)
 
-function queueWith (): { queue: FairQueue, use: UseLedger } {
-  const use = new UseLedger('resources')
+function queueWith (): { queue: FairQueue, use: UsageTracker } {
+  const use = new UsageTracker('resources')
   return { queue: new FairQueue(use, CAPACITY, () => false), use }
 }
 
@@ -28,7 +28,7 @@
   return queue.add({ item, need: item.resources, lane: { shape: 'one', team: 'team' }, costMs, latestStartAtMs: deadlineAtMs })
 }
 
-function startNext (queue: FairQueue, use?: UseLedger): IQueueEntry | undefined {
+function startNext (queue: FairQueue, use?: UsageTracker): IQueueEntry | undefined {
   const entry = queue.peek(() => false)
   if (entry === undefined) return undefined
   queue.remove(entry.item.id)
--- a/src/common/policy/FairQueue.ts
+++ b/src/common/policy/FairQueue.ts
@@ -10,7 +10,7 @@
 import type { IResources, MonotonicMs } from '../Types.js'
 import type { PriorityClass } from '../config/Types.js'
 import type { IQueueEntry, IQueueRequest, LaneFilter } from './QueueTypes.js'
-import type { UseLedger } from './UseLedger.js'
+import type { UsageTracker } from './UsageTracker.js'
 
 const BTree = BTreeModule.default
 
@@ -34,7 +34,7 @@
 
   /** @param _isScarce whether so little capacity is free that callers above their share have to leave it to the others */
   public constructor (
-    private readonly _usage: UseLedger,
+    private readonly _usage: UsageTracker,
     private readonly _capacity: IResources,
     private readonly _isScarce: () => boolean
   ) {}
--- a/src/common/policy/GiveUpFinder.ts
+++ b/src/common/policy/GiveUpFinder.ts
@@ -8,7 +8,7 @@
 import type { Admission } from './Admission.js'
 import type { CapacityLedger } from './CapacityLedger.js'
 import type { FairQueue } from './FairQueue.js'
-import type { GroupBook, IGroup } from './GroupBook.js'
+import type { GroupStore, IGroup } from './GroupStore.js'
 import type { IQueueEntry } from './QueueTypes.js'
 import type { IWorkItem } from './Types.js'
 
@@ -24,7 +24,7 @@
 
   public constructor (
     private readonly _queue: FairQueue,
-    private readonly _groupStore: GroupBook,
+    private readonly _groupStore: GroupStore,
     private readonly _admission: Admission,
     private readonly _ledger: CapacityLedger
   ) {
--- a/src/common/policy/GroupPlacer.test.ts
+++ b/src/common/policy/GroupPlacer.test.ts
@@ -10,7 +10,7 @@
 }
 
 function finish (engine: DecisionEngine, ...ids: readonly string[]): void {
-  for (const id of ids) engine.finished(id, 'succeeded', 1_000)
+  for (const id of ids) engine.recordEnd(id, 'succeeded', 1_000)
 }
 
 test('a job starts all its tasks at once or none', (t) => {
--- a/src/common/policy/GroupPlacer.ts
+++ b/src/common/policy/GroupPlacer.ts
@@ -7,10 +7,10 @@
 
 import type { MonotonicMs } from '../Types.js'
 import type { CapacityLedger, LedgerHost } from './CapacityLedger.js'
-import type { GroupBook, IGroup, IGroupTask } from './GroupBook.js'
+import type { GroupStore, IGroup, IGroupTask } from './GroupStore.js'
 import type { HostChooser } from './HostChooser.js'
-import type { RoomForecast } from './RoomForecast.js'
-import type { UseLedger } from './UseLedger.js'
+import type { CapacityForecast } from './CapacityForecast.js'
+import type { UsageTracker } from './UsageTracker.js'
 
 /** The most groups tried for capacity that is free without draining; lets a later small group start while an early large one waits. */
 const MAX_GROUPS_TRIED = 8
@@ -44,11 +44,11 @@
   private readonly _backfillUntilMs = new Map<LedgerHost, MonotonicMs>()
 
   public constructor (
-    private readonly _groupStore: GroupBook,
+    private readonly _groupStore: GroupStore,
     private readonly _ledger: CapacityLedger,
-    private readonly _usage: UseLedger,
+    private readonly _usage: UsageTracker,
     private readonly _chooser: HostChooser,
-    private readonly _forecast: RoomForecast
+    private readonly _forecast: CapacityForecast
   ) {}
 
   /** The group for which capacity is being gathered. */
--- a/src/common/policy/GroupBook.ts
+++ b/src/common/policy/GroupStore.ts
@@ -38,7 +38,7 @@
   holdChanged (item: IWorkItem, host: LedgerHost, sign: 1 | -1): void
 }
 
-export class GroupBook {
+export class GroupStore {
   private readonly _groups = new Map<string, IGroup>()
   private readonly _groupByItemId = new Map<string, IGroup>()
   private readonly _groupsWithHolds = new Set<IGroup>()
--- a/src/common/policy/HostChooser.ts
+++ b/src/common/policy/HostChooser.ts
@@ -7,12 +7,12 @@
 
 import type { IResources, MonotonicMs } from '../Types.js'
 import type { CapacityLedger, LedgerHost } from './CapacityLedger.js'
-import type { IHoldObserver } from './GroupBook.js'
+import type { IHoldObserver } from './GroupStore.js'
 import type { GridOrder, HostFilter } from './HostGrid.js'
 import type { HostHealth } from './HostHealth.js'
 import type { HostIndex } from './HostIndex.js'
 import type { IWorkItem } from './Types.js'
-import type { CapacityKind } from './UseLedger.js'
+import type { CapacityKind } from './UsageTracker.js'
 
 /** The most hosts checked one by one when the index finds none to drain. */
 const MAX_HOSTS_SCANNED = 1_000
--- a/src/common/policy/NaiveEngine.ts
+++ b/src/common/policy/NaiveEngine.ts
@@ -4,7 +4,7 @@
  * fast or fair.
  */
 
-import { NaiveLines } from './NaiveLines.js'
+import { NaiveQueue } from './NaiveQueue.js'
 import { addInto, difference, fits, larger, NO_RESOURCES, subtractFrom, zeroResources } from './Resources.js'
 
 import type { IResources, MonotonicMs, IClock } from '../Types.js'
@@ -37,7 +37,7 @@
   private readonly _held = new Map<string, INaivePlacement>()
   private readonly _groups = new Map<string, INaiveGroup>()
   private readonly _ready: EngineDecision[] = []
-  private readonly _queue = new NaiveLines()
+  private readonly _queue = new NaiveQueue()
 
   public constructor (protected readonly _clock: IClock) {}
 
@@ -87,7 +87,7 @@
     return wakeAtMs
   }
 
-  public finished (itemId: string, _end: AttemptEnd, _serviceMs: number): void {
+  public recordEnd (itemId: string, _end: AttemptEnd, _serviceMs: number): void {
     this._release(this._running, itemId)
   }
 
@@ -151,7 +151,7 @@
   /** Returns the first host with enough free capacity; subclasses in the benchmarks choose differently. */
   protected _chooseHost (item: IWorkItem): INaiveHost | undefined {
     for (const host of this._hosts.values()) {
-      if (this._hasRoom(host, item) && item.avoidHostIds?.includes(host.config.hostId) !== true) return host
+      if (this._hasCapacityFor(host, item) && item.avoidHostIds?.includes(host.config.hostId) !== true) return host
     }
     return item.avoidHostIds === undefined ? undefined : this._chooseAvoided(item)
   }
@@ -161,7 +161,7 @@
     return 0
   }
 
-  protected _hasRoom (host: INaiveHost, item: IWorkItem): boolean {
+  protected _hasCapacityFor (host: INaiveHost, item: IWorkItem): boolean {
     return host.config.accepting && fits(item.resources, difference(host.config.capacity, host.used))
   }
 
@@ -169,7 +169,7 @@
   private _chooseAvoided (item: IWorkItem): INaiveHost | undefined {
     const accepting = [...this._hosts.values()].filter((host) => host.config.accepting && fits(item.resources, host.config.capacity))
     const hasOther = accepting.some((host) => item.avoidHostIds?.includes(host.config.hostId) !== true)
-    return hasOther ? undefined : accepting.find((host) => this._hasRoom(host, item))
+    return hasOther ? undefined : accepting.find((host) => this._hasCapacityFor(host, item))
   }
 
   private _enqueue (items: readonly IWorkItem[]): AdmitDecision {
--- a/src/common/policy/NaiveLines.ts
+++ b/src/common/policy/NaiveQueue.ts
@@ -22,7 +22,7 @@
 /** Removed entries are cut off in batches of this size, since the cost of a cut grows with the length of the queue. */
 const TRIM_AFTER_ENTRIES = 10_000
 
-export class NaiveLines {
+export class NaiveQueue {
   private readonly _queues: (IRankQueue | undefined)[] = []
   private readonly _entryByItemId = new Map<string, INaiveEntry>()
   private readonly _byDeadline = new Heap<INaiveEntry>((a, b) => a.deadlineAtMs - b.deadlineAtMs)
--- a/src/common/policy/StopPlan.ts
+++ b/src/common/policy/PreemptionPlanner.ts
@@ -9,24 +9,24 @@
 import type { IProfile } from '../config/Types.js'
 import type { CapacityLedger } from './CapacityLedger.js'
 import type { FairQueue } from './FairQueue.js'
-import type { Preemption } from './Preemption.js'
+import type { VictimSelector } from './VictimSelector.js'
 import type { IQueueEntry } from './QueueTypes.js'
-import type { UseLedger } from './UseLedger.js'
+import type { UsageTracker } from './UsageTracker.js'
 
 export interface IStop {
   readonly itemId: string
   readonly hostId: string
 }
 
-export class StopPlan {
+export class PreemptionPlanner {
   /** Items being stopped, by id, with the shape of the urgent work that each of them makes way for. */
   private readonly _shapeByStoppingItem = new Map<string, string>()
 
   public constructor (
     private readonly _ledger: CapacityLedger,
-    private readonly _usage: UseLedger,
+    private readonly _usage: UsageTracker,
     private readonly _queue: FairQueue,
-    private readonly _victimSelector: Preemption
+    private readonly _victimSelector: VictimSelector
   ) {}
 
   public recordEnd (itemId: string): void {
--- a/src/common/policy/RetryBudget.ts
+++ b/src/common/policy/RetryBudget.ts
@@ -26,7 +26,7 @@
     this._saved = _options.maxSaved
   }
 
-  public noteSuccess (): void {
+  public recordSuccess (): void {
     this._saved = Math.min(this._saved + this._options.earnedPerSuccess, this._options.maxSaved)
   }
 
@@ -37,7 +37,7 @@
    * worst time. Since successes pay for retries, retries cease when successes do. Work that is not idempotent gets no
    * retry, because it is unknown whether the failed attempt took effect.
    */
-  public tryTake (item: IWorkItem, attempts: number): Result<void, RefusedError> {
+  public trySpend (item: IWorkItem, attempts: number): Result<void, RefusedError> {
     if (!item.idempotent) return refuse(item, 'not idempotent')
     if (attempts > item.profile.maxRetries) return refuse(item, `${attempts} attempts made`)
     if (this._saved < 1) return refuse(item, 'the budget is used up')
--- a/src/common/policy/ReturnBook.ts
+++ b/src/common/policy/RetryPromises.ts
@@ -18,7 +18,7 @@
   readonly expiresAtMs: MonotonicMs
 }
 
-export class ReturnBook {
+export class RetryPromises {
   public costMs = 0
   private readonly _promises = new Map<string, IPromise>()
   private readonly _costByCaller = new Map<string, number>()
--- a/src/common/policy/RunTimeLearner.ts
+++ b/src/common/policy/RunTimeEstimator.ts
@@ -35,7 +35,7 @@
   totalMs: number
 }
 
-export class RunTimeLearner {
+export class RunTimeEstimator {
   private readonly _services = new LRUCache<string, IRunTimes>({ max: MAX_SERVICES })
 
   public get serviceCount (): number {
--- a/src/common/policy/RunningWork.ts
+++ b/src/common/policy/RunningWork.ts
@@ -11,10 +11,10 @@
 import type { CapacityLedger, IRunningItem, LedgerHost } from './CapacityLedger.js'
 import type { FairQueue } from './FairQueue.js'
 import type { HostChooser } from './HostChooser.js'
-import type { Preemption } from './Preemption.js'
+import type { VictimSelector } from './VictimSelector.js'
 import type { ProfileQueue } from './ProfileQueue.js'
 import type { IWorkItem } from './Types.js'
-import type { UseLedger } from './UseLedger.js'
+import type { UsageTracker } from './UsageTracker.js'
 
 /** An item about to start and the cost that its caller is charged. */
 export interface IStart {
@@ -37,10 +37,10 @@
   public constructor (
     private readonly _clock: IClock,
     private readonly _ledger: CapacityLedger,
-    private readonly _usage: UseLedger,
+    private readonly _usage: UsageTracker,
     private readonly _queue: FairQueue,
     private readonly _chooser: HostChooser,
-    private readonly _victimSelector: Preemption
+    private readonly _victimSelector: VictimSelector
   ) {
     this._releaseRate.startBacklog(_clock.nowMs())
   }
--- a/src/common/policy/SizeLearner.ts
+++ b/src/common/policy/SizeEstimator.ts
@@ -24,7 +24,7 @@
   reports: number
 }
 
-export class SizeLearner {
+export class SizeEstimator {
   private readonly _services = new LRUCache<string, IFactors>({ max: MAX_SERVICES })
 
   public record (item: IWorkItem, usage: IResources): void {
--- a/src/common/policy/Types.ts
+++ b/src/common/policy/Types.ts
@@ -85,7 +85,7 @@
   /** When to call `next` again if nothing else happens, because a deadline or a reservation expires. */
   nextWakeAtMs (): MonotonicMs
   /** Records the end of an attempt: frees its capacity and updates the host's health and the service's run times. */
-  finished (itemId: string, end: AttemptEnd, serviceMs: number): void
+  recordEnd (itemId: string, end: AttemptEnd, serviceMs: number): void
   /** Records the reported usage of a running item; the larger of declared and reported usage is counted. */
   reportUsage (itemId: string, usage: IResources): void
   /**
--- a/src/common/policy/UseLedger.ts
+++ b/src/common/policy/UsageTracker.ts
@@ -18,7 +18,7 @@
   readonly resources: IMutableResources
 }
 
-export class UseLedger {
+export class UsageTracker {
   private readonly _profiles = new Map<string, IUsage>()
   private readonly _teams = new Map<string, IUsage>()
   private readonly _quotas = new Map<string, ITeamConfig>()
--- a/src/common/policy/Preemption.ts
+++ b/src/common/policy/VictimSelector.ts
@@ -21,7 +21,7 @@
 /** Whether the profile keeps its floor when it loses `resources`. */
 export type FloorTest = (profile: IProfile, resources: IResources) => boolean
 
-export class Preemption {
+export class VictimSelector {
   private readonly _preemptible = new Map<LedgerHost, Set<IRunningItem>>()
 
   public recordStart (running: IRunningItem): void {
--- a/src/common/policy/WorkEstimates.ts
+++ b/src/common/policy/WorkEstimates.ts
@@ -2,8 +2,8 @@
  * Estimates the size, the cost and the latest start of an item from what was learnt about its service.
  */
 
-import { RunTimeLearner } from './RunTimeLearner.js'
-import { SizeLearner } from './SizeLearner.js'
+import { RunTimeEstimator } from './RunTimeEstimator.js'
+import { SizeEstimator } from './SizeEstimator.js'
 
 import type { IResources, MonotonicMs } from '../Types.js'
 import type { CapacityLedger } from './CapacityLedger.js'
@@ -19,8 +19,8 @@
 const LONG_RUN_MS = 5_000
 
 export class WorkEstimates {
-  private readonly _runTimes = new RunTimeLearner()
-  private readonly _sizes = new SizeLearner()
+  private readonly _runTimes = new RunTimeEstimator()
+  private readonly _sizes = new SizeEstimator()
 
   public constructor (private readonly _ledger: CapacityLedger) {}
 
--- a/src/scheduler/hosts/RunnerPool.ts
+++ b/src/scheduler/hosts/RunnerPool.ts
@@ -194,7 +194,7 @@
   private _settleIfOver (entry: IUnsettledAttempt, running: ReadonlySet<string>): boolean {
     entry.missedStatuses = running.has(entry.attemptId) ? 0 : entry.missedStatuses + 1
     if (entry.missedStatuses < STATUSES_WITHOUT_ATTEMPT) return false
-    this._context.engine.finished(entry.itemId, 'stopped', 0)
+    this._context.engine.recordEnd(entry.itemId, 'stopped', 0)
     return true
   }
 
--- a/src/scheduler/jobs/TaskRunner.ts
+++ b/src/scheduler/jobs/TaskRunner.ts
@@ -64,7 +64,7 @@
     const session = this._pool?.session(hostId)
     const hasOwnerContact = task !== undefined && this._context.peers.heardLately(this._jobOwnerOf(task))
     if (task === undefined || session === undefined || !hasOwnerContact) {
-      this._context.engine.finished(item.id, session === undefined ? 'refused' : 'stopped', 0)
+      this._context.engine.recordEnd(item.id, session === undefined ? 'refused' : 'stopped', 0)
       if (task !== undefined) this.endTask(task, 'stopped')
       return
     }
@@ -107,7 +107,7 @@
       this._held.recordEnd(attempt.jobId, { taskId: attempt.taskId, attempt: attempt.attempt, state, hostId })
       return
     }
-    this._context.engine.finished(task.itemId, ENGINE_END[outcome], this._context.clock.nowMs() - task.startedAtMs)
+    this._context.engine.recordEnd(task.itemId, ENGINE_END[outcome], this._context.clock.nowMs() - task.startedAtMs)
     this.endTask(task, state)
     this.pump()
   }
@@ -115,7 +115,7 @@
   public onNotStarted (_hostId: string, attempt: IAttempt): void {
     const task = this._held.findByItem(itemIdOf(attempt))
     if (task === undefined) return
-    this._context.engine.finished(task.itemId, 'refused', 0)
+    this._context.engine.recordEnd(task.itemId, 'refused', 0)
     this.endTask(task, 'stopped')
     this.pump()
   }
--- a/src/scheduler/requests/Dispatcher.ts
+++ b/src/scheduler/requests/Dispatcher.ts
@@ -68,8 +68,8 @@
 
   private _handleAnswer (dispatch: IDispatch, answer: IRunnerAnswer): void {
     const failed = answer.status >= FIRST_SERVER_ERROR_STATUS
-    this._context.engine.finished(dispatch.item.id, failed ? 'failed' : 'succeeded', this._serviceMsOf(dispatch))
-    if (!failed) this._budgetOf(dispatch.pending.request.service).noteSuccess()
+    this._context.engine.recordEnd(dispatch.item.id, failed ? 'failed' : 'succeeded', this._serviceMsOf(dispatch))
+    if (!failed) this._budgetOf(dispatch.pending.request.service).recordSuccess()
     this._retryOrAnswer(dispatch, this._doneAnswer(dispatch, answer), failed)
     this._events.onSlotFree()
   }
@@ -82,7 +82,7 @@
     else {
       if (error instanceof FencedError) this._context.runners.reportFenced(dispatch.hostId, error.currentEpoch)
       else if (error instanceof RefusedError && error.message.includes('leaving')) this._context.runners.markLeaving(dispatch.hostId)
-      this._context.engine.finished(dispatch.item.id, 'refused', 0)
+      this._context.engine.recordEnd(dispatch.item.id, 'refused', 0)
       this._handleNotRun(dispatch)
     }
     this._events.onSlotFree()
@@ -118,7 +118,7 @@
     const { request, deadlineAtMs } = dispatch.pending
     if (!request.idempotent || this._context.clock.nowMs() >= deadlineAtMs) return false
     const attempts = (dispatch.item.avoidHostIds?.length ?? 0) + 1
-    return this._budgetOf(request.service).tryTake(dispatch.item, attempts).isOk()
+    return this._budgetOf(request.service).trySpend(dispatch.item, attempts).isOk()
   }
 
   private _budgetOf (service: string): RetryBudget {
--- a/src/scheduler/requests/RequestService.ts
+++ b/src/scheduler/requests/RequestService.ts
@@ -127,7 +127,7 @@
     if (decision.type === 'place') {
       const attemptId = attemptOf(decision.item.id)
       const pending = this._pending.get(attemptId)
-      if (pending === undefined) this._context.engine.finished(decision.item.id, 'stopped', 0)
+      if (pending === undefined) this._context.engine.recordEnd(decision.item.id, 'stopped', 0)
       else this._dispatcher.dispatch(pending, decision.item, decision.hostId)
     }
     if (decision.type === 'giveUp') {
--- a/test/policy/TestWork.ts
+++ b/test/policy/TestWork.ts
@@ -9,7 +9,7 @@
 import type { IResources } from '../../src/common/Types.js'
 import type { IProfile } from '../../src/common/config/Types.js'
 import type { EngineDecision, IDecisionEngine, IEngineHost, IWorkItem } from '../../src/common/policy/Types.js'
-import type { CapacityKind } from '../../src/common/policy/UseLedger.js'
+import type { CapacityKind } from '../../src/common/policy/UsageTracker.js'
 
 export function profile (changes: Partial<IProfile> = {}): IProfile {
   return {
