--- a/scripts/keepCode.ts
+++ b/scripts/keepCode.ts
@@ -3,8 +3,8 @@
  */
 
 import { fileURLToPath } from 'node:url'
-import { keepCode } from '../src/runtime/CodeCache.js'
+import { writeCodeCache } from '../src/runtime/CodeCache.js'
 
-const bytes = keepCode(fileURLToPath(new URL('../src/daemon/controller.cjs', import.meta.url)))
+const bytes = writeCodeCache(fileURLToPath(new URL('../src/daemon/controller.cjs', import.meta.url)))
 process.stdout.write(`kept ${bytes} bytes of code\n`)
 process.exit(0)
--- a/src/daemon/ControllerDaemon.ts
+++ b/src/daemon/ControllerDaemon.ts
@@ -29,10 +29,10 @@
 import { loadChart } from '../runtime/ChartLoader.js'
 import { Logger } from '../runtime/Logger.js'
 import { MetricsServer } from '../runtime/MetricsServer.js'
-import { Adviser } from '../../platform/Adviser.js'
+import { AdviceClient } from '../../platform/AdviceClient.js'
 import { callerWire } from '../../platform/CallerWire.js'
 import { cellRecords } from '../../platform/CellRecords.js'
-import { HostOrders } from '../../platform/HostOrders.js'
+import { HostOrderClient } from '../../platform/HostOrderClient.js'
 import { MetadataStore } from '../../platform/MetadataStore.js'
 import { READINESS_PATH } from '../../platform/Names.js'
 
@@ -79,8 +79,8 @@
   private readonly _times = new LatencyTable(MAX_TIMES)
   private readonly _log: Logger
   private readonly _store: MetadataStore
-  private readonly _orders = new HostOrders()
-  private readonly _adviser: Adviser
+  private readonly _orders = new HostOrderClient()
+  private readonly _adviser: AdviceClient
   private readonly _self: IProcessIdentity
   private readonly _counters = new Counters()
   private readonly _metrics: MetricsServer
@@ -103,7 +103,7 @@
     this._log = new Logger(this._clock, { processId: id, level: log.level, maxLinesPerSecond: log.maxLinesPerSecond })
     this._self = { processId: id, incarnation: this._clock.wallMs(), region, failureDomain }
     this._store = new MetadataStore(`${store.address.ip}:${store.address.port}`)
-    this._adviser = new Adviser(`${advice.address.ip}:${advice.address.port}`)
+    this._adviser = new AdviceClient(`${advice.address.ip}:${advice.address.port}`)
     this._metrics = new MetricsServer(id, { metrics: () => this._metricsText(), dump: () => this._dump() }, this._log)
     this._config = this._disposables.add(new ConfigFeed(this._store, cellRecords, this._clock, this._log))
   }
--- a/src/daemon/DaemonCore.ts
+++ b/src/daemon/DaemonCore.ts
@@ -49,7 +49,7 @@
     this.attemptIds = new AttemptIds(self)
     this.watcher = new ConfigWatcher(this.store, this.config, clock, this.log, {
       retryMs: CONFIG_RETRY_MS,
-      entriesOfPeers: async () => await this._exchange.entriesOfPeers()
+      fetchPeerEntries: async () => await this._exchange.entriesOfPeers()
     })
     this._exchange = this.disposables.add(new ConfigExchange(this.hub, this.config, this.watcher, clock))
     this.disposables.add(this.watcher)
--- a/src/daemon/OperatorSide.ts
+++ b/src/daemon/OperatorSide.ts
@@ -7,7 +7,7 @@
 import { ProcessMetrics } from '../common/observability/ProcessMetrics.js'
 import { ConfigEditor, EDITOR_DEFAULTS } from '../runtime/config/ConfigEditor.js'
 import { ConfigRoutes } from '../runtime/ConfigRoutes.js'
-import { DumpOnSignal } from '../runtime/DumpOnSignal.js'
+import { SignalDumpWriter } from '../runtime/SignalDumpWriter.js'
 import { NodeReadings } from '../runtime/NodeReadings.js'
 import { okReply } from '../runtime/OperatorRoutes.js'
 import { OperatorServer } from '../runtime/OperatorServer.js'
@@ -18,7 +18,7 @@
 import type { LatencyTable } from '../common/observability/LatencyTable.js'
 import type { OutcomeCounters } from '../common/observability/OutcomeCounters.js'
 import type { IMember } from '../common/protocol/Types.js'
-import type { IRevisionPlace } from '../runtime/ConfigRoutes.js'
+import type { IProcessRevision } from '../runtime/ConfigRoutes.js'
 import type { OperatorHandlers } from '../runtime/OperatorRoutes.js'
 import type { DaemonCore } from './DaemonCore.js'
 
@@ -45,7 +45,7 @@
       crossRegionSentBytes: () => hub.traffic().crossRegionSentBytes,
       storeCalls: () => store.callCount
     })))
-    disposables.add(new DumpOnSignal(this.dumps, log))
+    disposables.add(new SignalDumpWriter(this.dumps, log))
     const editor = new ConfigEditor(store, config, clock, { ...EDITOR_DEFAULTS, newNonce: () => _core.nonce() })
     const { broker, handlers, times, outcomes } = options
     this._server = new OperatorServer(broker, settings.operator, settings.limits, {
@@ -77,12 +77,12 @@
     this.dumps.register('members', () => this._core.agent.members())
   }
 
-  private async _askEverywhere (kind: ConfigKind, name: string): Promise<readonly IRevisionPlace[]> {
+  private async _askEverywhere (kind: ConfigKind, name: string): Promise<readonly IProcessRevision[]> {
     const alive = this._core.agent.members().filter((member) => member.state !== 'dead')
     return await Promise.all(alive.map(async (member) => await this._askOne(member, kind, name)))
   }
 
-  private async _askOne (member: IMember, kind: ConfigKind, name: string): Promise<IRevisionPlace> {
+  private async _askOne (member: IMember, kind: ConfigKind, name: string): Promise<IProcessRevision> {
     const { processId, region } = member
     try {
       const answer = await request(`${member.operatorUrl}/v1/config/${kind}/${name}?source=replica`, {
--- a/src/daemon/SchedulerDaemon.ts
+++ b/src/daemon/SchedulerDaemon.ts
@@ -4,7 +4,7 @@
 
 import { createBroker } from '../runtime/Broker.js'
 import { DefaultsSeeder } from '../runtime/config/DefaultsSeeder.js'
-import { faultReply, okReply } from '../runtime/OperatorRoutes.js'
+import { errorReply, okReply } from '../runtime/OperatorRoutes.js'
 import { LoadReporter } from '../scheduler/LoadReporter.js'
 import { DaemonCore } from './DaemonCore.js'
 import { JobSide } from './JobSide.js'
@@ -163,6 +163,6 @@
 /** The operator listener is bound before the parts that it tells of exist, because their entry names its address. */
 function lateHandlers (handlers: { readonly current: OperatorHandlers }): OperatorHandlers {
   const late = (name: 'hosts' | 'jobs' | 'shards' | 'drain') => async (request: IOperatorRequest) =>
-    await (handlers.current[name]?.(request) ?? faultReply(503, 'starting', 'this process is starting; ask again'))
+    await (handlers.current[name]?.(request) ?? errorReply(503, 'starting', 'this process is starting; ask again'))
   return { hosts: late('hosts'), jobs: late('jobs'), shards: late('shards'), drain: late('drain') }
 }
--- a/src/runtime/CodeCache.test.ts
+++ b/src/runtime/CodeCache.test.ts
@@ -2,7 +2,7 @@
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs'
 import { tmpdir } from 'node:os'
 import { join } from 'node:path'
-import { keepCode, loadScript } from './CodeCache.js'
+import { writeCodeCache, loadScript } from './CodeCache.js'
 
 import type { ExecutionContext } from 'ava'
 
@@ -24,7 +24,7 @@
 
 test('a script runs with its cached code', (t) => {
   const path = scriptIn(t)
-  t.true(keepCode(path) > 0)
+  t.true(writeCodeCache(path) > 0)
   const { exported, isCodeKept } = loadScript<IExported>(path)
   t.true(isCodeKept)
   t.is(exported.double(21), 42)
@@ -35,7 +35,7 @@
   // A build is interrupted after it has written the script and before it has written the cached code. With the old cached
   // code the process would run another version than the script.
   const path = scriptIn(t)
-  keepCode(path)
+  writeCodeCache(path)
   writeFileSync(path, SCRIPT.replace('value * 2', 'value * 2000'))
   const { exported, isCodeKept } = loadScript<IExported>(path)
   t.false(isCodeKept)
--- a/src/runtime/CodeCache.ts
+++ b/src/runtime/CodeCache.ts
@@ -25,7 +25,7 @@
 }
 
 /** Runs the script once and writes the compiled code of the functions that ran to the cache file. Returns the number of bytes. */
-export function keepCode (path: string): number {
+export function writeCodeCache (path: string): number {
   const script = compileScript(path, undefined)
   runScript(script, path)
   const code = script.createCachedData()
--- a/src/runtime/ConfigRoutes.ts
+++ b/src/runtime/ConfigRoutes.ts
@@ -6,7 +6,7 @@
 import { ConfigInvalidError } from '../common/config/ConfigInvalidError.js'
 import { CONFIG_KINDS, isConfigKind, isConfigName } from '../common/config/ProfileSchema.js'
 import { ConfigConflictError } from './config/ConfigConflictError.js'
-import { faultReply, okReply } from './OperatorRoutes.js'
+import { errorReply, okReply } from './OperatorRoutes.js'
 
 import type { ResultAsync } from 'neverthrow'
 import type { ConfigKind, IConfigEntry, IConfigReplica } from '../common/config/Types.js'
@@ -14,7 +14,7 @@
 import type { IOperatorReply, IOperatorRequest, OperatorHandler, OperatorHandlers } from './OperatorRoutes.js'
 
 /** The revision of a configuration item that one process applies. */
-export interface IRevisionPlace {
+export interface IProcessRevision {
   readonly processId: string
   readonly region: string
   /** Absent if the process doesn't know the item or didn't answer. */
@@ -24,7 +24,7 @@
 }
 
 /** Queries the revision of an item in every process, this one included. Must not reject. */
-export type RevisionQuery = (kind: ConfigKind, name: string) => Promise<readonly IRevisionPlace[]>
+export type RevisionQuery = (kind: ConfigKind, name: string) => Promise<readonly IProcessRevision[]>
 
 interface IConfigId {
   readonly kind: ConfigKind
@@ -66,7 +66,7 @@
   /** Returns the entry that this process applies; 404 if it doesn't know the item. */
   private async _getReplica ({ kind, name }: IConfigId): Promise<IOperatorReply> {
     const entry = this._replica.get(kind, name)
-    return entry === undefined ? faultReply(404, 'notFound', `there is no ${kind} ${name}`) : okReply({ entry, source: 'replica' })
+    return entry === undefined ? errorReply(404, 'notFound', `there is no ${kind} ${name}`) : okReply({ entry, source: 'replica' })
   }
 
   /** Returns the entry in the store or, while the store is unreachable, the one that this process applies. */
@@ -75,13 +75,13 @@
     const known = stored.isOk() ? stored.value : this._replica.get(kind, name)
     if (known !== undefined) return okReply({ entry: known, source: stored.isOk() ? 'store' : 'replica' })
     if (stored.isErr()) return toErrorReply(stored.error)
-    return faultReply(404, 'notFound', `there is no ${kind} ${name}`)
+    return errorReply(404, 'notFound', `there is no ${kind} ${name}`)
   }
 
   private async _rollback (id: IConfigId, request: IOperatorRequest): Promise<IOperatorReply> {
     const toRevision = (request.body as { readonly toRevision?: unknown } | undefined)?.toRevision
     if (typeof toRevision !== 'number') {
-      return faultReply(400, 'badRequest', 'send {"toRevision": <revision>} with a revision from the history')
+      return errorReply(400, 'badRequest', 'send {"toRevision": <revision>} with a revision from the history')
     }
     return await this._runEdit(id, request, target => this._editor.rollback(target, toRevision))
   }
@@ -92,7 +92,7 @@
 
   private async _runEdit (id: IConfigId, request: IOperatorRequest, edit: Edit): Promise<IOperatorReply> {
     if (request.ifMatch === undefined) {
-      return faultReply(428, 'revisionMissing', 'send the revision that you edited as If-Match, 0 for a new item')
+      return errorReply(428, 'revisionMissing', 'send the revision that you edited as If-Match, 0 for a new item')
     }
     const target = { ...id, seenRevision: request.ifMatch, writer: request.operator }
     const result = await edit(target, request)
@@ -106,24 +106,24 @@
     const { kind = '', name = '' } = request.params
     if (!isConfigKind(kind)) return replyUnknownKind(kind)
     if (!isConfigName(name)) {
-      return faultReply(400, 'invalid', `name must be 1 to 63 lower-case letters, digits, dots, dashes or underscores, not ${JSON.stringify(name)}`)
+      return errorReply(400, 'invalid', `name must be 1 to 63 lower-case letters, digits, dots, dashes or underscores, not ${JSON.stringify(name)}`)
     }
     return await handler({ kind, name }, request)
   }
 }
 
 function replyUnknownKind (kind: string): IOperatorReply {
-  return faultReply(404, 'unknownKind', `there is no kind ${JSON.stringify(kind)}; the kinds are ${CONFIG_KINDS.join(', ')}`)
+  return errorReply(404, 'unknownKind', `there is no kind ${JSON.stringify(kind)}; the kinds are ${CONFIG_KINDS.join(', ')}`)
 }
 
 function toErrorReply (error: EditError): IOperatorReply {
   if (error instanceof ConfigConflictError) {
-    return faultReply(409, 'conflict', `${error.message}; edit the current revision instead`, { current: error.current })
+    return errorReply(409, 'conflict', `${error.message}; edit the current revision instead`, { current: error.current })
   }
-  if (error instanceof ConfigInvalidError) return faultReply(400, 'invalid', `${error.peer} is not accepted: ${error.summary}`, { problems: error.problems })
-  if (error instanceof InvalidInputError) return faultReply(400, 'invalid', error.message)
+  if (error instanceof ConfigInvalidError) return errorReply(400, 'invalid', `${error.peer} is not accepted: ${error.summary}`, { problems: error.problems })
+  if (error instanceof InvalidInputError) return errorReply(400, 'invalid', error.message)
   if (error instanceof AmbiguousError) {
-    return faultReply(504, 'unconfirmed', `${error.message}; read the item again to see whether the change is in force`)
+    return errorReply(504, 'unconfirmed', `${error.message}; read the item again to see whether the change is in force`)
   }
-  return faultReply(503, 'storeUnavailable', `${error.message}; nothing was changed, try again later`)
+  return errorReply(503, 'storeUnavailable', `${error.message}; nothing was changed, try again later`)
 }
--- a/src/runtime/HostCommand.ts
+++ b/src/runtime/HostCommand.ts
@@ -8,7 +8,7 @@
 import type { Dispatcher } from 'undici'
 import type * as z from 'zod'
 import { AmbiguousError, FencedError, RefusedError } from '../common/Errors.js'
-import { parseResponse } from './Answers.js'
+import { parseResponse } from './ResponseSchemas.js'
 import { exchange } from './HttpExchange.js'
 
 import type { IHttpResponse, IHttpRequest } from './HttpExchange.js'
--- a/src/runtime/HostListClient.ts
+++ b/src/runtime/HostListClient.ts
@@ -7,7 +7,7 @@
 
 import type { Result, ResultAsync } from 'neverthrow'
 import { UnreachableError } from '../common/Errors.js'
-import { hostListResponse, hostRecord, hostIdentity, parseResponse } from './Answers.js'
+import { hostListResponse, hostRecord, hostIdentity, parseResponse } from './ResponseSchemas.js'
 import { exchange } from './HttpExchange.js'
 
 import type { IDisposable } from '../common/Types.js'
--- a/src/runtime/KeyValueClient.test.ts
+++ b/src/runtime/KeyValueClient.test.ts
@@ -40,7 +40,7 @@
     for (const record of range.records) this.values.set(record.key, record.value)
   }
 
-  public onReachable (reachable: boolean): void {
+  public onReachabilityChange (reachable: boolean): void {
     this.reachable.push(reachable)
   }
 }
@@ -94,12 +94,12 @@
   store.standIn.control({ outage: 'hang' })
   await eventually('the listener is back', async () => (await client.compareAndSwap('a', 0, '1'))._unsafeUnwrapErr() instanceof AmbiguousError)
   t.true((await client.get('a'))._unsafeUnwrapErr() instanceof UnreachableError)
-  t.false(client.reachable)
+  t.false(client.isReachable)
   store.standIn.control({ outage: 'reset' })
   t.true((await client.compareAndSwap('a', 0, '1'))._unsafeUnwrapErr() instanceof AmbiguousError)
   store.standIn.control({ outage: 'none' })
   t.true((await client.get('a')).isOk())
-  t.true(client.reachable)
+  t.true(client.isReachable)
 })
 
 test('writes beyond the rate limit of the store are refused', async (t) => {
--- a/src/runtime/KeyValueClient.ts
+++ b/src/runtime/KeyValueClient.ts
@@ -9,7 +9,7 @@
 import type { Result, ResultAsync } from 'neverthrow'
 import type * as z from 'zod'
 import { AmbiguousError, ConflictError, RefusedError, UnreachableError } from '../common/Errors.js'
-import { parseResponse, storeGetResponse, storeLeaseResponse, storeRangeResponse, storeWatchResponse, storeWriteResponse } from './Answers.js'
+import { parseResponse, storeGetResponse, storeLeaseResponse, storeRangeResponse, storeWatchResponse, storeWriteResponse } from './ResponseSchemas.js'
 import { exchange } from './HttpExchange.js'
 import { StoreWatch } from './StoreWatch.js'
 
@@ -72,7 +72,7 @@
     return this._callCount
   }
 
-  public get reachable (): boolean {
+  public get isReachable (): boolean {
     return this._failuresInARow < FAILURES_TO_UNREACHABLE
   }
 
@@ -110,7 +110,7 @@
     const watch = new StoreWatch(this, this._timers, this._random, prefix, afterRevision, listener)
     this._watches.add(watch)
     watch.start()
-    if (!this.reachable) listener.onReachable(false)
+    if (!this.isReachable) listener.onReachabilityChange(false)
     return {
       dispose: () => {
         this._watches.delete(watch)
@@ -175,12 +175,12 @@
   }
 
   private _recordOutcome (success: boolean): void {
-    const before = this.reachable
+    const before = this.isReachable
     this._failuresInARow = success ? 0 : this._failuresInARow + 1
-    if (this.reachable === before) return
+    if (this.isReachable === before) return
     for (const watch of this._watches) {
-      watch.listener.onReachable(this.reachable)
-      if (this.reachable) watch.restart()
+      watch.listener.onReachabilityChange(this.isReachable)
+      if (this.isReachable) watch.restart()
     }
   }
 }
--- a/src/runtime/OperatorRoutes.ts
+++ b/src/runtime/OperatorRoutes.ts
@@ -57,6 +57,6 @@
 }
 
 /** @param more further fields for programs */
-export function faultReply (status: number, error: string, message: string, more: object = {}): IOperatorReply {
+export function errorReply (status: number, error: string, message: string, more: object = {}): IOperatorReply {
   return { status, value: { error, message, ...more } satisfies IOperatorError }
 }
--- a/src/runtime/OperatorServer.ts
+++ b/src/runtime/OperatorServer.ts
@@ -7,7 +7,7 @@
 import { errorFields } from '../common/observability/ErrorFields.js'
 import { BearerToken } from './BearerToken.js'
 import { HttpListener } from './HttpListener.js'
-import { OPERATOR_ROUTES, faultReply } from './OperatorRoutes.js'
+import { OPERATOR_ROUTES, errorReply } from './OperatorRoutes.js'
 
 import type { IncomingMessage, RequestListener, ServerResponse } from 'node:http'
 import type { ServiceBroker, ServiceSchema } from 'moleculer'
@@ -24,8 +24,8 @@
 const REQUEST_TIMEOUT_MS = 10_000
 const CLOSE_GRACE_MS = 1000
 const MAX_OPERATOR_CHARS = 64
-const UNAUTHORIZED = faultReply(401, 'unauthorized', 'send the token of [operator] in the settings as "Authorization: Bearer <token>"')
-const UNKNOWN_PATH = faultReply(404, 'notFound', 'there is no such path; docs/API.md lists the paths')
+const UNAUTHORIZED = errorReply(401, 'unauthorized', 'send the token of [operator] in the settings as "Authorization: Bearer <token>"')
+const UNKNOWN_PATH = errorReply(404, 'notFound', 'there is no such path; docs/API.md lists the paths')
 
 /** A request with the properties that moleculer-web adds. */
 interface IApiRequest extends IncomingMessage {
@@ -89,12 +89,12 @@
 
   private async _serve (name: OperatorRouteName, request: IApiRequest, response: ServerResponse): Promise<void> {
     const handler = this._handlers[name]
-    if (handler === undefined) return send(response, faultReply(404, 'notHere', `this process has no ${name}; ask another one`))
+    if (handler === undefined) return send(response, errorReply(404, 'notHere', `this process has no ${name}; ask another one`))
     try {
       send(response, await handler(toOperatorRequest(request)))
     } catch (error) {
       this._logger.error('operator.failed', { route: name, ...errorFields(error) })
-      send(response, faultReply(500, 'internal', 'the request failed inside the process; see the operator.failed event in its log'))
+      send(response, errorReply(500, 'internal', 'the request failed inside the process; see the operator.failed event in its log'))
     }
   }
 
@@ -128,8 +128,8 @@
 function toErrorReply (error: unknown): IOperatorReply {
   const { code, status } = error as { readonly code?: unknown, readonly status?: unknown }
   if (code === 404) return UNKNOWN_PATH
-  if (code === 413 || status === 413) return faultReply(413, 'tooLarge', `the body exceeds the limit of ${MAX_BODY_BYTES} bytes`)
-  return faultReply(400, 'badRequest', 'the request is malformed: send a JSON body and a well-formed path')
+  if (code === 413 || status === 413) return errorReply(413, 'tooLarge', `the body exceeds the limit of ${MAX_BODY_BYTES} bytes`)
+  return errorReply(400, 'badRequest', 'the request is malformed: send a JSON body and a well-formed path')
 }
 
 function send (response: ServerResponse, reply: IOperatorReply): void {
--- a/src/runtime/RunnerClient.ts
+++ b/src/runtime/RunnerClient.ts
@@ -7,13 +7,13 @@
 import { Client, Pool } from 'undici'
 
 import type { Result, ResultAsync } from 'neverthrow'
-import { runnerStatus } from './Answers.js'
+import { runnerStatus } from './ResponseSchemas.js'
 import { sendCommand, parseRefusal } from './HostCommand.js'
 import { exchange } from './HttpExchange.js'
 
 import type { IDisposable } from '../common/Types.js'
 import type { IHttpResponse, IHttpRequest } from './HttpExchange.js'
-import type { IFence, IHostRecord, IRunnerAnswer, IRunnerCall, IRunnerClient, IRunnerStatus, UpstreamError } from './Types.js'
+import type { IFence, IHostRecord, IRunnerResponse, IRunnerCall, IRunnerClient, IRunnerStatus, UpstreamError } from './Types.js'
 
 export interface IRunnerClientOptions {
   /** The longest wait for a connection, in milliseconds. */
@@ -45,7 +45,7 @@
 
   public constructor (private readonly _options: IRunnerClientOptions = RUNNER_CLIENT_DEFAULTS) {}
 
-  public run (host: IHostRecord, call: IRunnerCall): ResultAsync<IRunnerAnswer, UpstreamError> {
+  public run (host: IHostRecord, call: IRunnerCall): ResultAsync<IRunnerResponse, UpstreamError> {
     const request: IHttpRequest = {
       step: 'runner.run',
       peer: host.hostId,
@@ -121,7 +121,7 @@
   return PLAIN_HEADER_VALUE.test(text) ? text : encodeURIComponent(text)
 }
 
-function toRunnerAnswer (request: IHttpRequest, response: IHttpResponse): Result<IRunnerAnswer, UpstreamError> {
+function toRunnerAnswer (request: IHttpRequest, response: IHttpResponse): Result<IRunnerResponse, UpstreamError> {
   const refusal = parseRefusal(request, response)
   if (refusal !== undefined) return err(refusal)
   const contentType = response.headers['content-type'] ?? DEFAULT_CONTENT_TYPE
--- a/src/runtime/DumpOnSignal.ts
+++ b/src/runtime/SignalDumpWriter.ts
@@ -8,7 +8,7 @@
 
 const SIGNAL = 'SIGUSR2'
 
-export class DumpOnSignal implements IDisposable {
+export class SignalDumpWriter implements IDisposable {
   private readonly _listener = () => this._writeDump()
 
   public constructor (private readonly _registry: DumpRegistry, private readonly _logger: ILogger) {
--- a/src/runtime/StateRoutes.ts
+++ b/src/runtime/StateRoutes.ts
@@ -2,7 +2,7 @@
  * The read-only routes of the operators' HTTP interface that every process serves: dump, metrics and outcomes.
  */
 
-import { faultReply, okReply } from './OperatorRoutes.js'
+import { errorReply, okReply } from './OperatorRoutes.js'
 
 import type { DumpRegistry } from '../common/observability/DumpRegistry.js'
 import type { LatencyTable } from '../common/observability/LatencyTable.js'
@@ -37,7 +37,7 @@
 function replyDump ({ processId, dumps }: IStateSources, { query }: IOperatorRequest): IOperatorReply {
   const sections = dumps.dump(query['section'])
   if (sections !== undefined) return okReply({ processId, sections })
-  return faultReply(404, 'notFound', `there is no such section; the sections are ${dumps.names().join(', ')}`)
+  return errorReply(404, 'notFound', `there is no such section; the sections are ${dumps.names().join(', ')}`)
 }
 
 function summarizeTimes ({ times }: IStateSources): object {
--- a/src/runtime/Types.ts
+++ b/src/runtime/Types.ts
@@ -58,7 +58,7 @@
   onChanges (changes: readonly IStoreChange[]): void
   onReset (range: IStoreRange): void
   /** Called when the store becomes unreachable (false) or reachable again (true). */
-  onReachable (reachable: boolean): void
+  onReachabilityChange (reachable: boolean): void
 }
 
 export type HostKind = 'runner' | 'worker'
@@ -103,7 +103,7 @@
   readonly signal?: AbortSignal
 }
 
-export interface IRunnerAnswer {
+export interface IRunnerResponse {
   readonly status: number
   readonly contentType: string
   readonly body: Uint8Array
@@ -125,7 +125,7 @@
 
 /** Client of runners, which run calls on their slots. */
 export interface IRunnerClient {
-  run (host: IHostRecord, call: IRunnerCall): ResultAsync<IRunnerAnswer, UpstreamError>
+  run (host: IHostRecord, call: IRunnerCall): ResultAsync<IRunnerResponse, UpstreamError>
   /** Raises the runner's epoch for the shard, and returns the runner's status. */
   fence (host: IHostRecord, fence: IFence): ResultAsync<IRunnerStatus, UpstreamError>
   /** Drops connections to hosts that are no longer in use. */
--- a/src/runtime/WorkerClient.ts
+++ b/src/runtime/WorkerClient.ts
@@ -6,7 +6,7 @@
 import { Client } from 'undici'
 
 import type { ResultAsync } from 'neverthrow'
-import { workerStatus } from './Answers.js'
+import { workerStatus } from './ResponseSchemas.js'
 import { sendCommand } from './HostCommand.js'
 
 import type { IDisposable } from '../common/Types.js'
--- a/src/runtime/config/ConfigWatcher.test.ts
+++ b/src/runtime/config/ConfigWatcher.test.ts
@@ -18,7 +18,7 @@
   const store = new ScriptedStore()
   const clock = new ManualClock()
   const replica = new ConfigReplica()
-  const options = { retryMs: 100, entriesOfPeers: async () => peerEntries }
+  const options = { retryMs: 100, fetchPeerEntries: async () => peerEntries }
   const watcher = new ConfigWatcher(store, replica, clock, new SilentLogger(), options)
   const seeder = new DefaultsSeeder(store, replica, clock, new SilentLogger(), 'gateway-1')
   const editor = new ConfigEditor(store, replica, clock, { ...EDITOR_DEFAULTS, newNonce: () => 'n' })
--- a/src/runtime/config/ConfigWatcher.ts
+++ b/src/runtime/config/ConfigWatcher.ts
@@ -16,19 +16,19 @@
   /** The pause between two attempts to read the store at the start, in milliseconds. */
   readonly retryMs: number
   /** Fetches the entries of any peer; empty without a peer. Must not reject. */
-  readonly entriesOfPeers: () => Promise<readonly IConfigEntry[]>
+  readonly fetchPeerEntries: () => Promise<readonly IConfigEntry[]>
 }
 
 export class ConfigWatcher implements IDisposable {
   private readonly _onApplied = new Emitter<readonly IConfigEntry[]>()
-  private readonly _onReachable = new Emitter<boolean>()
+  private readonly _onReachabilityChange = new Emitter<boolean>()
   private _retryOrWatch: IDisposable | undefined
   private _isDisposed = false
 
   /** Fires with the entries that changed the replica of this process. */
   public readonly onApplied = this._onApplied.event
   /** Fires when the store becomes unreachable (false) or reachable again (true). */
-  public readonly onReachable = this._onReachable.event
+  public readonly onReachabilityChange = this._onReachabilityChange.event
 
   public constructor (
     private readonly _store: IKeyValueStore,
@@ -48,7 +48,7 @@
     if (range.isOk()) return this._watchStore(range.value)
     this._logger.warn('config.storeUnreachable', errorFields(range.error))
     this._retryOrWatch = this._timers.after(this._options.retryMs, () => this.start())
-    this.applyFromPeer(await this._options.entriesOfPeers())
+    this.applyFromPeer(await this._options.fetchPeerEntries())
   }
 
   /** Applies the entries of a peer. Invalid entries are logged and skipped. */
@@ -60,7 +60,7 @@
     this._isDisposed = true
     this._retryOrWatch?.dispose()
     this._onApplied.dispose()
-    this._onReachable.dispose()
+    this._onReachabilityChange.dispose()
   }
 
   private _watchStore (range: IStoreRange): void {
@@ -68,7 +68,7 @@
     this._retryOrWatch = this._store.watch(CONFIG_PREFIX, range.revision, {
       onChanges: changes => this._applyChanges(changes),
       onReset: whole => this._applyRecords(whole.records),
-      onReachable: reachable => this._onReachable.fire(reachable)
+      onReachabilityChange: reachable => this._onReachabilityChange.fire(reachable)
     })
   }
 
--- a/src/runtime/settings/IniScan.ts
+++ b/src/runtime/settings/IniLineChecker.ts
@@ -11,7 +11,7 @@
 const TRUNCATED_VALUE = /^[^"';#][^;#]*(?<!\s)[;#]/
 const UNTERMINATED_QUOTE = /^("(?!.*"$)|'(?!.*'$)|["']$)/
 
-export class IniScan {
+export class IniLineChecker {
   public readonly problems: ISettingsProblem[] = []
   public readonly validLines: string[] = []
   private readonly _seenPlaces = new Set<string>()
--- a/src/runtime/settings/IniText.ts
+++ b/src/runtime/settings/IniText.ts
@@ -5,7 +5,7 @@
  */
 
 import { parse } from 'ini'
-import { IniScan } from './IniScan.js'
+import { IniLineChecker } from './IniLineChecker.js'
 
 import type { ISettingsProblem } from './SettingsError.js'
 
@@ -18,7 +18,7 @@
 
 /** Parses INI text. Never throws. */
 export function readIni (text: string): IIniContent {
-  const checker = new IniScan()
+  const checker = new IniLineChecker()
   const lines = text.split(/\r\n|\n|\r/)
   lines.forEach((line, index) => checker.checkLine(line.trim(), index + 1))
   return { sections: toSections(parse(checker.validLines.join('\n'))), problems: checker.problems }
--- a/src/scheduler/ownership/ShardOwner.ts
+++ b/src/scheduler/ownership/ShardOwner.ts
@@ -185,12 +185,12 @@
     this._disposables.add(this._store.watch(MEMBER_PREFIX, membersRevision, {
       onChanges: (changes) => { this._changeMembers(() => { this.members.apply(changes) }) },
       onReset: (range) => { this._resetMembers(range) },
-      onReachable: (reachable) => { this._setReachable(reachable) }
+      onReachabilityChange: (reachable) => { this._setReachable(reachable) }
     }))
     this._disposables.add(this._store.watch(SHARD_PREFIX, shardsRevision, {
       onChanges: (changes) => { this._applyShardChanges(changes) },
       onReset: (range) => { this._resetShards(range) },
-      onReachable: () => {}
+      onReachabilityChange: () => {}
     }))
   }
 
--- a/src/scheduler/requests/Dispatcher.ts
+++ b/src/scheduler/requests/Dispatcher.ts
@@ -8,7 +8,7 @@
 
 import type { IWorkItem } from '../../common/policy/Types.js'
 import type { IFinalAnswer } from '../../common/Types.js'
-import type { IFence, IHostRecord, IRunnerAnswer, UpstreamError } from '../../runtime/Types.js'
+import type { IFence, IHostRecord, IRunnerResponse, UpstreamError } from '../../runtime/Types.js'
 import type { IPendingRequest, IRequestContext } from './Types.js'
 
 const FIRST_SERVER_ERROR_STATUS = 500
@@ -66,7 +66,7 @@
     })
   }
 
-  private _handleAnswer (dispatch: IDispatch, answer: IRunnerAnswer): void {
+  private _handleAnswer (dispatch: IDispatch, answer: IRunnerResponse): void {
     const failed = answer.status >= FIRST_SERVER_ERROR_STATUS
     this._context.engine.recordEnd(dispatch.item.id, failed ? 'failed' : 'succeeded', this._serviceMsOf(dispatch))
     if (!failed) this._budgetOf(dispatch.pending.request.service).recordSuccess()
@@ -135,7 +135,7 @@
     this._events.onRequeue({ ...dispatch.item, id, avoidHostIds })
   }
 
-  private _doneAnswer (dispatch: IDispatch, answer: IRunnerAnswer): IFinalAnswer {
+  private _doneAnswer (dispatch: IDispatch, answer: IRunnerResponse): IFinalAnswer {
     return {
       outcome: 'done',
       status: answer.status,
--- a/src/scheduler/requests/RequestService.test.ts
+++ b/src/scheduler/requests/RequestService.test.ts
@@ -23,7 +23,7 @@
 import type { ConfigKind, IConfigEntry } from '../../common/config/Types.js'
 import type { ClaimReply, ISubmitRequest } from '../../common/protocol/Types.js'
 import type { IFinalAnswer } from '../../common/Types.js'
-import type { IHostRecord, IRunnerAnswer, IRunnerCall, IRunnerClient, UpstreamError } from '../../runtime/Types.js'
+import type { IHostRecord, IRunnerResponse, IRunnerCall, IRunnerClient, UpstreamError } from '../../runtime/Types.js'
 import type { IOwnedShard } from '../hosts/Types.js'
 import type { IWorkItem } from '../../common/policy/Types.js'
 import type { QueueShifter } from './QueueShifter.js'
@@ -31,7 +31,7 @@
 
 const SELF = { processId: 's1', incarnation: 1, region: 'lakes-west', failureDomain: 'lakes-west' }
 const SHARD = { shardId: 'runners/r0', epoch: 3 }
-const OK: IRunnerAnswer = { status: 200, contentType: 'text/plain', body: Buffer.from('found') }
+const OK: IRunnerResponse = { status: 200, contentType: 'text/plain', body: Buffer.from('found') }
 
 type RunResult = ReturnType<IRunnerClient['run']>
 
@@ -150,11 +150,11 @@
 }
 
 function ambiguous (): RunResult {
-  return errAsync<IRunnerAnswer, UpstreamError>(new AmbiguousError('runner.run', 'a', 'cut'))
+  return errAsync<IRunnerResponse, UpstreamError>(new AmbiguousError('runner.run', 'a', 'cut'))
 }
 
 function refused (message: string): RunResult {
-  return errAsync<IRunnerAnswer, UpstreamError>(new RefusedError('runner.run', 'a', message))
+  return errAsync<IRunnerResponse, UpstreamError>(new RefusedError('runner.run', 'a', message))
 }
 
 test('an answer comes back complete, with the region and the profile revision under which it was decided', async (t) => {
@@ -200,7 +200,7 @@
 })
 
 test('a request that a runner refuses goes to another runner, and a newer epoch is reported', async (t) => {
-  const fenced = errAsync<IRunnerAnswer, UpstreamError>(new FencedError('runner.run', 'a', 9))
+  const fenced = errAsync<IRunnerResponse, UpstreamError>(new FencedError('runner.run', 'a', 9))
   const fixture = await new Fixture([refused('noSlot'), okAsync(OK), fenced, okAsync(OK)]).start()
   t.like(await fixture.send('neighbour-broadcast', 'x.1'), { outcome: 'done' })
   t.like(await fixture.send('neighbour-broadcast', 'x.2'), { outcome: 'done' })
@@ -230,9 +230,9 @@
 test('a stop hands queued requests back as not run, releases their claims, and waits for running requests', async (t) => {
   // An operator replaces a host with a scheduler. Requests that wait here go to other schedulers; requests that a runner
   // has started still get their answers.
-  let finish: (answer: IRunnerAnswer) => void = () => {}
-  const end = new Promise<IRunnerAnswer>((resolve) => { finish = resolve })
-  const slow = (): RunResult => ResultAsync.fromSafePromise<IRunnerAnswer, UpstreamError>(end)
+  let finish: (answer: IRunnerResponse) => void = () => {}
+  const end = new Promise<IRunnerResponse>((resolve) => { finish = resolve })
+  const slow = (): RunResult => ResultAsync.fromSafePromise<IRunnerResponse, UpstreamError>(end)
   const fixture = await new Fixture([slow(), slow()]).start()
   const [first, second] = [fixture.send('neighbour-broadcast', 'x.1'), fixture.send('neighbour-broadcast', 'x.2')]
   const waiting = fixture.send('neighbour-broadcast', 'x.3')
--- a/test/soak/Faults.ts
+++ b/test/soak/Faults.ts
@@ -137,7 +137,7 @@
     const host = this._pick(this._platform.hosts)
     this._judge.noteDisturbed(host.hostId)
     host.host.restart()
-    this._platform.register(host)
+    this._platform.registerHost(host)
     return NOTHING_TO_UNDO
   }
 
--- a/test/support/ControllerCell.ts
+++ b/test/support/ControllerCell.ts
@@ -63,7 +63,7 @@
 
   private async _add (number: number): Promise<void> {
     const id = `controller-${number}`
-    const { forwarder, port } = await this._platform.storeForwarder()
+    const { forwarder, port } = await this._platform.createStoreForwarder()
     const configPath = join(this._folder, `${id}.ini`)
     writeFileSync(configPath, settings(id, port, this._platform.advicePort, this._maxHoldMs))
     const process = startProcess(this._binary, ['--config', configPath], this._nodeArgs)
--- a/test/support/MemoryStore.ts
+++ b/test/support/MemoryStore.ts
@@ -47,7 +47,7 @@
   public setDown (down: boolean): void {
     this._down = down
     for (const { prefix, listener } of this._watches) {
-      listener.onReachable(!down)
+      listener.onReachabilityChange(!down)
       if (!down) listener.onReset({ records: this._range(prefix), revision: this._revision })
     }
   }
