--- a/bench/slopes/TakeoverSlopes.ts
+++ b/bench/slopes/TakeoverSlopes.ts
@@ -45,7 +45,7 @@
   const nonce = (): string => `${processId}-${count++}`
   const user = { beforeRelease: async () => {} }
   const owner = new ShardOwner(store, clock, member, chart, new ShardAssignment(hash), user, nonce, DEFAULT_SHARD_OWNER_OPTIONS)
-  owner.onAcquired(({ shardId, epoch }) => { owner.ready(shardId, epoch) })
+  owner.onAcquired(({ shardId, epoch }) => { owner.markReady(shardId, epoch) })
   owner.setShards(shards)
   member.start()
   owner.start()
--- a/src/daemon/JobSide.ts
+++ b/src/daemon/JobSide.ts
@@ -5,7 +5,7 @@
 import { DecisionEngine } from '../common/policy/DecisionEngine.js'
 import { loadChart } from '../runtime/ChartLoader.js'
 import { WorkerClient } from '../runtime/WorkerClient.js'
-import { JobOwner, JobPeers, serveJobs, TaskService, WorkerPool } from '../scheduler/jobs/index.js'
+import { JobOwner, JobPeers, registerJobHandlers, TaskService, WorkerPool } from '../scheduler/jobs/index.js'
 
 import type { IDisposable } from '../common/Types.js'
 import type { DaemonCore } from './DaemonCore.js'
@@ -35,7 +35,7 @@
       taskChart: loadChart('task')._unsafeUnwrap(),
       random
     })
-    serveJobs(peers, this.tasks, this.jobs)
+    registerJobHandlers(peers, this.tasks, this.jobs)
   }
 
   public dispose (): void {
--- a/src/daemon/MembersFeed.ts
+++ b/src/daemon/MembersFeed.ts
@@ -19,7 +19,7 @@
 
 /** Feeds a scheduler's membership from the watch of its shard owner. */
 export function feedFromOwner (owner: ShardOwner, agent: MembershipAgent): IDisposable {
-  const members = owner.onMembers(() => agent.storeAll(owner.members.all().map(toMember)))
+  const members = owner.onMembersChanged(() => agent.storeAll(owner.members.all().map(toMember)))
   const reachable = owner.onReachable((isReachable) => agent.storeReachable(isReachable))
   return {
     dispose: () => {
--- a/src/daemon/OwnershipSide.ts
+++ b/src/daemon/OwnershipSide.ts
@@ -60,7 +60,7 @@
     return {
       onAcquired: this.owner.onAcquired,
       onLost: this.owner.onLost,
-      noteFenced: (shardId, currentEpoch) => this.owner.fenced(shardId, currentEpoch),
+      reportFenced: (shardId, currentEpoch) => this.owner.reportFenced(shardId, currentEpoch),
       confirm: async (shardId, epoch) => await this.owner.confirm(shardId, epoch)
     }
   }
@@ -77,7 +77,7 @@
       onChange()
     })
     this.owner.onReachable((reachable) => { this._storeReachable = reachable })
-    this.claims.onLost(({ shardId, epoch }) => this.owner.fenced(shardId, epoch + 1))
+    this.claims.onLost(({ shardId, epoch }) => this.owner.reportFenced(shardId, epoch + 1))
   }
 
   public start (): void {
@@ -103,7 +103,7 @@
       }
       user.takeOver(shardId, epoch, recovered.value)
     }
-    this.owner.ready(shardId, epoch)
+    this.owner.markReady(shardId, epoch)
     return true
   }
 
--- a/src/daemon/RequestSide.ts
+++ b/src/daemon/RequestSide.ts
@@ -5,7 +5,7 @@
 import { DecisionEngine } from '../common/policy/DecisionEngine.js'
 import { RunnerClient } from '../runtime/RunnerClient.js'
 import { RunnerPool } from '../scheduler/hosts/RunnerPool.js'
-import { adoptedItem } from '../scheduler/requests/AdoptedItem.js'
+import { createAdoptedItem } from '../scheduler/requests/AdoptedItem.js'
 import { ClaimClient } from '../scheduler/requests/ClaimClient.js'
 import { QueueShifter } from '../scheduler/requests/QueueShifter.js'
 import { RequestService } from '../scheduler/requests/RequestService.js'
@@ -34,7 +34,7 @@
       clock,
       timers: clock,
       log,
-      adoptedItem
+      createAdoptedItem: createAdoptedItem
     })
     this.service = this._createService()
     this._followQueues()
@@ -65,9 +65,9 @@
   private _followQueues (): void {
     const { self, hub, clock, random, disposables } = this._core
     const shifter = new QueueShifter(self, clock, random)
-    disposables.add(hub.listen('loadSummary', (summary) => shifter.noteSummary(summary)))
+    disposables.add(hub.listen('loadSummary', (summary) => shifter.putSummary(summary)))
     disposables.add(hub.onLost((peer) => shifter.forget(peer.processId)))
-    disposables.add(clock.every(SHIFT_MS, () => this.service.shift(shifter)))
+    disposables.add(clock.every(SHIFT_MS, () => this.service.shiftQueued(shifter)))
   }
 
   private _handle (): void {
--- a/src/daemon/SchedulerDaemon.ts
+++ b/src/daemon/SchedulerDaemon.ts
@@ -48,7 +48,7 @@
     this._requests.runners.onChange(() => this._tellSlotsSoon())
     _core.watcher.onApplied((entries) => this._takeTeams(entries))
     _core.hub.handle('drain', async ({ hostId }) => {
-      if (hostId !== undefined) this._ownership.directory.drain(hostId)
+      if (hostId !== undefined) this._ownership.directory.drainHost(hostId)
       return { draining: hostId !== undefined }
     })
   }
@@ -123,7 +123,7 @@
   private async _drain (hostId: string | undefined): Promise<{ readonly draining: boolean }> {
     if (hostId === undefined) process.kill(process.pid, 'SIGTERM')
     else {
-      this._ownership.directory.drain(hostId)
+      this._ownership.directory.drainHost(hostId)
       await Promise.all(this._core.hub.links().map(async (link) => await link.call('drain', { hostId }, DRAIN_CALL_MS)))
     }
     return { draining: true }
--- a/src/scheduler/hosts/HostDirectory.ts
+++ b/src/scheduler/hosts/HostDirectory.ts
@@ -41,7 +41,7 @@
   }
 
   /** Takes a host out of use at an operator's request: a live host counts as leaving from now on. */
-  public drain (hostId: string): void {
+  public drainHost (hostId: string): void {
     this._drainedHostIds.add(hostId)
     this._applyList(this._listed)
   }
--- a/src/scheduler/hosts/RunnerPool.ts
+++ b/src/scheduler/hosts/RunnerPool.ts
@@ -34,7 +34,7 @@
   readonly timers: ITimers
   readonly log: ILogger
   /** Creates the engine item of an adopted attempt. */
-  readonly adoptedItem: (itemId: string, nowMs: number) => IWorkItem
+  readonly createAdoptedItem: (itemId: string, nowMs: number) => IWorkItem
 }
 
 export class RunnerPool implements IRunnerSessionEvents, IDisposable {
@@ -97,7 +97,7 @@
   }
 
   public onFenced (session: RunnerSession, currentEpoch: number): void {
-    this._context.shards.noteFenced(session.fence.shardId, currentEpoch)
+    this._context.shards.reportFenced(session.fence.shardId, currentEpoch)
   }
 
   public dump (): readonly Readonly<Record<string, unknown>>[] {
@@ -174,7 +174,7 @@
   private _adoptAttempts (session: RunnerSession, status: IRunnerStatus): void {
     for (const attemptId of status.attemptIds) {
       const itemId = `${ADOPTED_PREFIX}${attemptId}`
-      this._context.engine.adopt(this._context.adoptedItem(itemId, this._context.clock.nowMs()), session.host.hostId)
+      this._context.engine.adopt(this._context.createAdoptedItem(itemId, this._context.clock.nowMs()), session.host.hostId)
       this._addUnsettled(session.host.hostId, { itemId, attemptId, missedStatuses: 0 })
     }
     if (status.attemptIds.length > 0) session.setUnsettled(true)
--- a/src/scheduler/hosts/Types.ts
+++ b/src/scheduler/hosts/Types.ts
@@ -23,7 +23,7 @@
   readonly onAcquired: Event<IOwnedShard>
   readonly onLost: Event<IOwnedShard>
   /** A host refused this process's epoch: another process has taken the shard over. */
-  noteFenced (shardId: string, currentEpoch: number): void
+  reportFenced (shardId: string, currentEpoch: number): void
   /** Whether the store, read now, shows this process as owner under this epoch; false also if the store doesn't answer. */
   confirm (shardId: string, epoch: number): Promise<boolean>
 }
--- a/src/scheduler/jobs/JobPeers.ts
+++ b/src/scheduler/jobs/JobPeers.ts
@@ -45,7 +45,7 @@
     return [this.self.processId, ...this._hub.links().map((link) => link.peer.processId)]
   }
 
-  public heardLately (processId: string): boolean {
+  public hasRecentContact (processId: string): boolean {
     if (processId === this.self.processId) return true
     const link = this._hub.link(processId)
     return link !== undefined && this._clock.nowMs() - link.lastHeardMs <= RECENT_CONTACT_MS
--- a/src/scheduler/jobs/JobsOverLinks.test.ts
+++ b/src/scheduler/jobs/JobsOverLinks.test.ts
@@ -15,7 +15,7 @@
 import { eventually } from '../../../test/support/Eventually.js'
 import { FakeJobLog, ID_SHARD, jobOf, testConfig } from '../../../test/support/JobsCell.js'
 import { identity, startHub } from '../../../test/support/PeerHubs.js'
-import { JobOwner, JobPeers, serveJobs, TaskService, WorkerPool } from './index.js'
+import { JobOwner, JobPeers, registerJobHandlers, TaskService, WorkerPool } from './index.js'
 
 import type { ExecutionContext } from 'ava'
 import type { IJobSpec, ILoadSummary } from '../../common/protocol/Types.js'
@@ -70,14 +70,14 @@
   const shards = {
     onAcquired: acquired.event,
     onLost: dropped.event,
-    noteFenced: (shardId: string) => { owned.delete(shardId) },
+    reportFenced: (shardId: string) => { owned.delete(shardId) },
     confirm: async (shardId: string) => owned.has(shardId)
   }
   const pool = new WorkerPool({ ...common, client, engine, directory, shards }, tasks.runner)
   tasks.runner.setPool(pool)
   const taskChart = loadChart('task')._unsafeUnwrap()
   const jobs = new JobOwner({ ...common, jobLog: cell.log, hosts: () => cell.hosts, taskChart, random: new SeededRandom(2) })
-  serveJobs(peers, tasks, jobs)
+  registerJobHandlers(peers, tasks, jobs)
   let cached: { readonly atMs: number, readonly owned: string, readonly summary?: ILoadSummary } = { atMs: -Infinity, owned: '' }
   const scheduler: IScheduler = {
     hub,
--- a/src/scheduler/jobs/TaskRunner.ts
+++ b/src/scheduler/jobs/TaskRunner.ts
@@ -3,7 +3,7 @@
  * jobs.
  */
 
-import { adoptedItem } from '../requests/AdoptedItem.js'
+import { createAdoptedItem } from '../requests/AdoptedItem.js'
 import { placeOf } from './HeldTasks.js'
 import { itemIdOf } from './TaskIds.js'
 
@@ -62,7 +62,7 @@
   public startPlaced (item: IWorkItem, hostId: string): void {
     const task = this._held.findByItem(item.id)
     const session = this._pool?.session(hostId)
-    const hasOwnerContact = task !== undefined && this._context.peers.heardLately(this._jobOwnerOf(task))
+    const hasOwnerContact = task !== undefined && this._context.peers.hasRecentContact(this._jobOwnerOf(task))
     if (task === undefined || session === undefined || !hasOwnerContact) {
       this._context.engine.recordEnd(item.id, session === undefined ? 'refused' : 'stopped', 0)
       if (task !== undefined) this.endTask(task, 'stopped')
@@ -74,7 +74,7 @@
 
   public onAdopted (hostId: string, start: IAttemptStart): void {
     const itemId = itemIdOf(start)
-    const item = { ...adoptedItem(itemId, this._context.clock.nowMs()), resources: start.resources }
+    const item = { ...createAdoptedItem(itemId, this._context.clock.nowMs()), resources: start.resources }
     this._context.engine.adopt(item, hostId)
     const { jobId, taskId, attempt } = start
     const task: IHeldTask = {
--- a/src/scheduler/jobs/Types.ts
+++ b/src/scheduler/jobs/Types.ts
@@ -72,7 +72,7 @@
   /** This process and all processes that it has a link to. */
   processIds (): readonly string[]
   /** Whether the last message of the process is so recent that it can't have been replaced; always true for this process. */
-  heardLately (processId: string): boolean
+  hasRecentContact (processId: string): boolean
   call<N extends PeerCallName> (processId: string, name: N, request: IPeerCalls[N]['ask'], timeoutMs: number):
   ResultAsync<IPeerCalls[N]['reply'], PeerError>
   cast (processId: string, name: 'taskUpdate', cast: IPeerCasts['taskUpdate']): void
--- a/src/scheduler/jobs/WorkerPool.ts
+++ b/src/scheduler/jobs/WorkerPool.ts
@@ -97,7 +97,7 @@
   }
 
   public onFenced (_hostId: string, shardId: string, currentEpoch: number): void {
-    this._context.shards.noteFenced(shardId, currentEpoch)
+    this._context.shards.reportFenced(shardId, currentEpoch)
   }
 
   private _addShard (shard: IOwnedShard): void {
--- a/src/scheduler/jobs/index.ts
+++ b/src/scheduler/jobs/index.ts
@@ -36,7 +36,7 @@
 export type { IJobLog, IJobPeers, IShardView } from './Types.js'
 
 /** Registers the handlers of the calls about jobs and tasks, from peers and from this process. */
-export function serveJobs (peers: JobPeers, tasks: TaskService, jobs: JobOwner): void {
+export function registerJobHandlers (peers: JobPeers, tasks: TaskService, jobs: JobOwner): void {
   peers.handle('submitJob', async (job) => await jobs.submit(job))
   peers.handle('jobStatus', ({ jobId }) => jobs.status(jobId))
   peers.handle('cancelJob', async ({ jobId }) => await jobs.cancel(jobId))
--- a/src/scheduler/ownership/Ownership.fuzz.test.ts
+++ b/src/scheduler/ownership/Ownership.fuzz.test.ts
@@ -92,7 +92,7 @@
       this._store, this._clock, member, chart, new ShardAssignment(hash), releaseHandler, () => `n${this._nonces++}`, DEFAULT_SHARD_OWNER_OPTIONS)
     owner.onAcquired(({ shardId, epoch }) => {
       this._recordAcquired(shardId, epoch, `${name}.${incarnation}`)
-      owner.ready(shardId, epoch)
+      owner.markReady(shardId, epoch)
     })
     owner.setShards(SHARDS)
     member.start()
--- a/src/scheduler/ownership/ShardOwner.test.ts
+++ b/src/scheduler/ownership/ShardOwner.test.ts
@@ -38,7 +38,7 @@
   const events: string[] = []
   owner.onAcquired(({ shardId, epoch }) => {
     events.push(`+${shardId}@${epoch}`)
-    owner.ready(shardId, epoch)
+    owner.markReady(shardId, epoch)
   })
   owner.onLost(({ shardId, epoch, reason }) => { events.push(`-${shardId}@${epoch} ${reason}`) })
   owner.setShards(shards)
--- a/src/scheduler/ownership/ShardOwner.ts
+++ b/src/scheduler/ownership/ShardOwner.ts
@@ -33,9 +33,9 @@
   public readonly onAcquired = this._onAcquired.event
   private readonly _onLost = this._disposables.add(new Emitter<IShardLost>())
   public readonly onLost = this._onLost.event
-  private readonly _onMembers = this._disposables.add(new Emitter<void>())
+  private readonly _onMembersChanged = this._disposables.add(new Emitter<void>())
   /** The registered members have changed. */
-  public readonly onMembers = this._onMembers.event
+  public readonly onMembersChanged = this._onMembersChanged.event
   private readonly _onReachable = this._disposables.add(new Emitter<boolean>())
   public readonly onReachable = this._onReachable.event
   /** A record can't be decoded; its shard gets no new owner until the record is repaired. */
@@ -114,12 +114,12 @@
   }
 
   /** Marks the takeover of a shard as complete. */
-  public ready (shardId: string, epoch: number): void {
+  public markReady (shardId: string, epoch: number): void {
     this._shards.get(shardId)?.ownership.markReady(epoch)
   }
 
   /** Reports that a host or a log has refused this process because of a newer epoch. */
-  public fenced (shardId: string, currentEpoch: number): void {
+  public reportFenced (shardId: string, currentEpoch: number): void {
     const shard = this._shards.get(shardId)
     if (shard !== undefined) this._shards.fireChange(shard, shard.ownership.reportFenced(currentEpoch))
   }
@@ -201,7 +201,7 @@
   private _changeMembers (change: () => void): void {
     change()
     this._membersChangedAtMs = this._clock.nowMs()
-    this._onMembers.fire()
+    this._onMembersChanged.fire()
     this._evaluateSoon()
   }
 
--- a/src/scheduler/requests/AdoptedItem.ts
+++ b/src/scheduler/requests/AdoptedItem.ts
@@ -25,7 +25,7 @@
   idempotentDefault: false
 }
 
-export function adoptedItem (itemId: string, nowMs: MonotonicMs): IWorkItem {
+export function createAdoptedItem (itemId: string, nowMs: MonotonicMs): IWorkItem {
   return {
     id: itemId,
     caller: ADOPTED_NAME,
--- a/src/scheduler/requests/QueueShifter.ts
+++ b/src/scheduler/requests/QueueShifter.ts
@@ -16,7 +16,7 @@
   }
 
   /** Stores another scheduler's newest load summary. */
-  public noteSummary (summary: ILoadSummary): void {
+  public putSummary (summary: ILoadSummary): void {
     const { processId, region } = summary
     if (processId === this._self.processId) return
     if (summary.draining) this._policy.remove(processId)
--- a/src/scheduler/requests/RequestService.test.ts
+++ b/src/scheduler/requests/RequestService.test.ts
@@ -17,7 +17,7 @@
 import { IdHasher } from '../../common/requests/AttemptIds.js'
 import { settle } from '../../../test/support/advance.js'
 import { RunnerPool } from '../hosts/RunnerPool.js'
-import { adoptedItem } from './AdoptedItem.js'
+import { createAdoptedItem } from './AdoptedItem.js'
 import { RequestService } from './RequestService.js'
 
 import type { ConfigKind, IConfigEntry } from '../../common/config/Types.js'
@@ -94,12 +94,12 @@
     const shards = {
       onAcquired: this._acquired.event,
       onLost: new Emitter<IOwnedShard>().event,
-      noteFenced: (_shardId: string, epoch: number) => { this.fenced.push(epoch) },
+      reportFenced: (_shardId: string, epoch: number) => { this.fenced.push(epoch) },
       confirm: async () => true
     }
     const common = { engine: this.engine, client, clock, timers: clock, log: new SilentLogger() }
     const directory = { hosts: [runnerHost('a'), runnerHost('b')], onChange: new Emitter<readonly IHostRecord[]>().event }
-    this._pool = new RunnerPool({ ...common, directory, shards, adoptedItem })
+    this._pool = new RunnerPool({ ...common, directory, shards, createAdoptedItem: createAdoptedItem })
     const claims: IClaimClient = {
       claim: async () => {
         await new Promise<void>((resolve) => { clock.after(this.claimMs, resolve) })
@@ -266,7 +266,7 @@
   const moved = fixture.send('neighbour-broadcast', 'x.3', { remainingMs: 10_000 })
   const stays = fixture.send('neighbour-broadcast', 'x.4', { remainingMs: 10_000, hops: 1 })
   await settle()
-  fixture.service.shift(shifter)
+  fixture.service.shiftQueued(shifter)
   t.like(await moved, { outcome: 'notRun', reason: 'overloaded' })
   fixture.running = []
   await fixture.advanceTime(2000)
--- a/src/scheduler/requests/RequestService.ts
+++ b/src/scheduler/requests/RequestService.ts
@@ -79,7 +79,7 @@
    * in the region have free slots, and the queued requests would wait here until they run or expire. Each request is moved
    * at most once, and only as many at a time as the policy allows by the other schedulers' summaries.
    */
-  public shift (shifter: QueueShifter): void {
+  public shiftQueued (shifter: QueueShifter): void {
     const load = this._context.engine.load()
     if (load.queued === 0) return
     for (const [attemptId, { request, item, earlierAnswer }] of [...this._pending]) {
--- a/test/support/JobsCell.ts
+++ b/test/support/JobsCell.ts
@@ -85,7 +85,7 @@
     const shards = {
       onAcquired: this.acquired.event,
       onLost: this.dropped.event,
-      noteFenced: (shardId: string) => { this.lose(shardId) },
+      reportFenced: (shardId: string) => { this.lose(shardId) },
       confirm: async (shardId: string, epoch: number) => !_cell.isStoreDown && _cell.epochs.get(shardId) === epoch
     }
     const common = { peers: this, shards: _cell.view, config, idShardOf: () => ID_SHARD, clock, timers: clock, log: new SilentLogger() }
@@ -148,7 +148,7 @@
     return this._cell.schedulers.filter((scheduler) => scheduler.isAlive).map((scheduler) => scheduler.self.processId)
   }
 
-  public heardLately (processId: string): boolean {
+  public hasRecentContact (processId: string): boolean {
     return this.processIds().includes(processId)
   }
 
