--- a/src/daemon/RequestSide.ts
+++ b/src/daemon/RequestSide.ts
@@ -34,7 +34,7 @@
       clock,
       timers: clock,
       log,
-      createAdoptedItem: createAdoptedItem
+      createAdoptedItem
     })
     this.service = this._createService()
     this._followQueues()
--- a/src/scheduler/requests/RequestService.test.ts
+++ b/src/scheduler/requests/RequestService.test.ts
@@ -99,7 +99,7 @@
     }
     const common = { engine: this.engine, client, clock, timers: clock, log: new SilentLogger() }
     const directory = { hosts: [runnerHost('a'), runnerHost('b')], onChange: new Emitter<readonly IHostRecord[]>().event }
-    this._pool = new RunnerPool({ ...common, directory, shards, createAdoptedItem: createAdoptedItem })
+    this._pool = new RunnerPool({ ...common, directory, shards, createAdoptedItem })
     const claims: IClaimClient = {
       claim: async () => {
         await new Promise<void>((resolve) => { clock.after(this.claimMs, resolve) })
