--- a/src/peer/CallTable.ts
+++ b/src/peer/CallTable.ts
@@ -1,6 +1,6 @@
 /**
- * The calls of one link that wait for their replies. Ids count up within the link, so a reply can only reach a call
- * that was made on the same link; a reply that comes after its call has ended finds nothing and is counted.
+ * The calls of one link that wait for their replies. Call ids count up within the link, so a reply can only complete
+ * a call that was made on the same link. A reply that arrives after its call has ended is dropped and counted.
  */
 
 import { err, ok } from 'neverthrow'
@@ -14,9 +14,9 @@
 import type { PeerCounters } from './PeerCounters.js'
 import type { PeerError } from './Types.js'
 
-/** Timeouts are rounded up to this, so that the runtime keeps few timer lists at thousands of calls a second. */
+/** Timeouts are rounded up to a multiple of this. Node.js keeps one timer list per duration, and a link makes thousands of calls a second. */
 const TIMER_STEP_MS = 10
-/** The runtime fires longer timers at once. */
+/** Node.js fires timers at once if their delay is more than 2^31 - 1 ms. */
 const MAX_TIMER_MS = 2_000_000_000
 
 export type CallResult = Result<unknown, PeerError>
@@ -28,7 +28,7 @@
   readonly timer: IDisposable
 }
 
-/** The step of a call in its errors. */
+/** The `step` that errors and log lines state for a call of this name. */
 export function callStep (name: string): string {
   return `peer.${name}`
 }
@@ -36,7 +36,7 @@
 export class CallTable {
   private readonly _pending = new Map<number, IPendingCall>()
   private _lastId = 0
-  /** Calls up to this id have been handed to the socket. */
+  /** Highest id of the calls that have been handed to the socket. */
   private _sentUpToId = 0
 
   public constructor (
@@ -49,12 +49,12 @@
     return this._pending.size
   }
 
-  /** The id that the next call will get. */
+  /** The id of the next call that is added. */
   public get nextId (): number {
     return this._lastId + 1
   }
 
-  /** Enters a call under `nextId`. `settle` is called once: by the reply, the timeout or the loss of the link. */
+  /** Adds a call under `nextId`. `settle` is called once: on the reply, the timeout or the loss of the link. */
   public add (name: string, timeoutMs: number, settle: (result: CallResult) => void): void {
     this._lastId += 1
     const callId = this._lastId
@@ -63,44 +63,44 @@
     this._pending.set(callId, { name, step: callStep(name), settle, timer })
   }
 
-  /** Notes that all calls entered so far have been handed to the socket. */
-  public noteSent (): void {
+  /** Records that all calls added so far have been handed to the socket. */
+  public markAllSent (): void {
     this._sentUpToId = this._lastId
   }
 
-  /** Ends a call with its reply; false when no such call waits. A misshapen reply tells nothing of what was done. */
-  public reply (callId: number, reply: unknown): boolean {
-    return this._end(callId, ({ name, step }) => {
+  /** Ends a call with its reply. Returns false if no such call waits. A malformed reply doesn't tell whether the call took effect. */
+  public completeCall (callId: number, reply: unknown): boolean {
+    return this._endCall(callId, ({ name, step }) => {
       const shape = replyShape(name)
       const fault = shape === undefined ? undefined : misfit(shape, reply)
       if (fault === undefined) return ok(reply)
       this._counters.misshapenMessages += 1
-      return err(new AmbiguousError(step, this._peer, `misshapen reply: ${fault}`))
+      return err(new AmbiguousError(step, this._peer, `malformed reply: ${fault}`))
     })
   }
 
-  /** Ends a call with the peer's refusal; false when no such call waits. */
-  public fail (frame: IFailureFrame): boolean {
-    return this._end(frame.callId, (call) => err(this._failure(call, frame)))
+  /** Ends a call with the failure that the peer reported. Returns false if no such call waits. */
+  public failCall (frame: IFailureFrame): boolean {
+    return this._endCall(frame.callId, (call) => err(this._errorOf(call, frame)))
   }
 
   /**
-   * Ends all calls when the link is gone. A call that was still waiting to be handed to the socket can't have been
-   * run; of the others nobody here can tell, and they must not be taken for not run.
+   * Ends all calls after the loss of the link. A call that had not been handed to the socket can't have run. Any other
+   * call may have run, so it ends as ambiguous.
    */
-  public loseAll (reason: string): void {
+  public failAll (reason: string): void {
     for (const callId of [...this._pending.keys()]) {
-      this._end(callId, (call) => err(callId > this._sentUpToId
+      this._endCall(callId, (call) => err(callId > this._sentUpToId
         ? new UnreachableError(call.step, this._peer, `${reason} before it was sent`)
         : new AmbiguousError(call.step, this._peer, `${reason} before the reply`)))
     }
   }
 
   private _expire (callId: number, timeoutMs: number): void {
-    this._end(callId, (call) => err(new AmbiguousError(call.step, this._peer, `no reply within ${timeoutMs} ms`)))
+    this._endCall(callId, (call) => err(new AmbiguousError(call.step, this._peer, `no reply within ${timeoutMs} ms`)))
   }
 
-  private _end (callId: number, result: (call: IPendingCall) => CallResult): boolean {
+  private _endCall (callId: number, result: (call: IPendingCall) => CallResult): boolean {
     const call = this._pending.get(callId)
     if (call === undefined) return false
     this._pending.delete(callId)
@@ -109,12 +109,12 @@
     return true
   }
 
-  private _failure (call: IPendingCall, frame: IFailureFrame): PeerError {
+  private _errorOf (call: IPendingCall, frame: IFailureFrame): PeerError {
     const message = `${frame.step} ${frame.peer}: ${frame.message}`
     switch (frame.failure) {
       case FailureKind.NotRun: return new UnreachableError(call.step, this._peer, message)
       case FailureKind.Refused: return new RefusedError(call.step, this._peer, message)
-      case FailureKind.Broken: return new AmbiguousError(call.step, this._peer, message)
+      case FailureKind.HandlerFailed: return new AmbiguousError(call.step, this._peer, message)
     }
   }
 }
--- a/src/peer/DialTable.ts
+++ b/src/peer/DialTable.ts
@@ -1,5 +1,5 @@
 /**
- * Whom this process dials. Several users may ask for a link to the same process.
+ * The processes that this process dials, with a count of users each: several users may dial the same process.
  */
 
 import type { IDisposable } from '../common/Types.js'
@@ -12,22 +12,22 @@
 }
 
 export class DialTable implements IDisposable {
-  private _disposed = false
+  private _isDisposed = false
   private readonly _dials = new Map<string, IDial>()
 
   public constructor (private readonly _context: IDialContext) {}
 
-  /** Keeps a link to this address until every user has disposed. */
+  /** Keeps a link to this address until all users have disposed. */
   public dial (peerUrl: string, processId: string): IDisposable {
-    const dial = this._dialFor(peerUrl, processId)
+    const dial = this._findOrCreateDial(peerUrl, processId)
     dial.users += 1
-    if (!this._disposed) dial.dialler.start()
-    let disposed = false
+    if (!this._isDisposed) dial.dialler.start()
+    let isReleased = false
     return {
       dispose: () => {
-        if (disposed) return
-        disposed = true
-        this._release(processId)
+        if (isReleased) return
+        isReleased = true
+        this._removeUser(processId)
       }
     }
   }
@@ -36,31 +36,31 @@
     return this._dials.has(processId)
   }
 
-  public noteLinked (processId: string): void {
-    this._dials.get(processId)?.dialler.noteLinked()
+  public onLinked (processId: string): void {
+    this._dials.get(processId)?.dialler.onLinked()
   }
 
-  public noteLost (processId: string): void {
-    this._dials.get(processId)?.dialler.noteLost()
+  public onLinkLost (processId: string): void {
+    this._dials.get(processId)?.dialler.onLinkLost()
   }
 
   /** Stops all dialling for good. */
   public dispose (): void {
-    this._disposed = true
+    this._isDisposed = true
     for (const { dialler } of this._dials.values()) dialler.dispose()
   }
 
-  private _dialFor (peerUrl: string, processId: string): IDial {
+  private _findOrCreateDial (peerUrl: string, processId: string): IDial {
     const existing = this._dials.get(processId)
     if (existing?.dialler.peerUrl === peerUrl) return existing
-    // A restarted process has a new address: those who dialled the old one are served by the new dial.
+    // A restarted process has a new address. The new dialler takes over the users of the old one.
     existing?.dialler.dispose()
     const dial = { dialler: new PeerDialler(peerUrl, processId, this._context), users: existing?.users ?? 0 }
     this._dials.set(processId, dial)
     return dial
   }
 
-  private _release (processId: string): void {
+  private _removeUser (processId: string): void {
     const dial = this._dials.get(processId)
     if (dial === undefined) return
     dial.users -= 1
--- a/src/peer/FrameSender.ts
+++ b/src/peer/FrameSender.ts
@@ -1,23 +1,23 @@
 /**
- * The sending side of one link: encodes frames, joins them into packets, and bounds what waits for a slow peer.
+ * The sending side of one link: encodes frames, joins them into packets, and limits the bytes that are queued for a slow peer.
  */
 
-import type { FrameCodec, WireFrame } from './Frames.js'
+import type { FrameCodec, FrameFields } from './Frames.js'
 import { PacketBatch } from './PacketBatch.js'
 import type { IPeerHubOptions } from './PeerHubOptions.js'
 import type { IPeerSocket } from './PeerSocket.js'
 
 export interface IFrameSenderListener {
-  /** A packet with all frames queued so far is about to go to the socket. */
+  /** Called just before a packet with all queued frames is handed to the socket. */
   onSending (): void
-  /** More waits unsent than a link may hold at all. */
-  onOverfull (): void
+  /** Called when the unsent bytes exceed `maxBacklogBytes`. */
+  onBacklogExceeded (): void
 }
 
 export class FrameSender {
   private readonly _batch: PacketBatch
-  private _stopped = false
-  private _hasSentSinceTick = false
+  private _isStopped = false
+  private _hasSent = false
 
   public constructor (
     private readonly _codec: FrameCodec,
@@ -28,52 +28,52 @@
     this._batch = new PacketBatch((packet) => this._send(packet))
   }
 
-  /** Whether frames wait for the packet of this turn. */
-  public get isPending (): boolean {
+  /** Whether frames are queued for the packet of the current turn of the event loop. */
+  public get hasQueuedFrames (): boolean {
     return this._batch.bytes > 0
   }
 
   /**
-   * Made for a peer that reads more slowly than we send: without a bound its backlog fills our memory, and one would
-   * see the process grow until it is killed and takes every other link with it.
+   * Whether the unsent bytes exceed `maxBufferedBytes`. If a peer reads more slowly than this process sends and
+   * nothing limits the backlog, the backlog fills the memory until this process is killed and all its links are lost.
    */
   public get isBackedUp (): boolean {
     return this._socket.bufferedBytes + this._batch.bytes > this._options.maxBufferedBytes
   }
 
-  /** Queues a frame; gives the reason when it can't be sent. */
-  public enqueue (frame: WireFrame): string | undefined {
-    if (this._stopped) return 'the link is down'
+  /** Queues a frame. Returns the reason if the frame can't be sent. */
+  public enqueue (frame: FrameFields): string | undefined {
+    if (this._isStopped) return 'the link is down'
     const bytes = this._codec.encode(frame)
     if (bytes.isErr()) return bytes.error
     this._batch.add(bytes.value)
-    this._hasSentSinceTick = true
+    this._hasSent = true
     return undefined
   }
 
-  /** Whether anything was queued since this was last asked. */
-  public takeHasSent (): boolean {
-    const hasSent = this._hasSentSinceTick
-    this._hasSentSinceTick = false
+  /** Whether a frame was queued since the last call of this method. */
+  public clearHasSent (): boolean {
+    const hasSent = this._hasSent
+    this._hasSent = false
     return hasSent
   }
 
-  /** Sends what is queued and takes no more. */
-  public finish (): void {
+  /** Sends the queued frames and accepts no more. */
+  public flushAndStop (): void {
     this._batch.flush()
-    this._stopped = true
+    this._isStopped = true
   }
 
-  /** Forgets what is queued and takes no more. */
+  /** Discards the queued frames and accepts no more. */
   public stop (): void {
     this._batch.clear()
-    this._stopped = true
+    this._isStopped = true
   }
 
   private _send (packet: Uint8Array): void {
-    if (this._stopped) return
+    if (this._isStopped) return
     this._listener.onSending()
     this._socket.send(packet)
-    if (this._socket.bufferedBytes > this._options.maxBacklogBytes) this._listener.onOverfull()
+    if (this._socket.bufferedBytes > this._options.maxBacklogBytes) this._listener.onBacklogExceeded()
   }
 }
--- a/src/peer/Frames.ts
+++ b/src/peer/Frames.ts
@@ -1,6 +1,6 @@
 /**
- * The messages on a link and their codec. One codec belongs to one link and one lifetime of it: object shapes are
- * sent once and then referred to by number, so the decoder must see every message in the order of encoding.
+ * The frames that a link carries, and their codec. Each connection has a codec of its own: the encoder sends an
+ * object's shape once and then refers to it by number, so the decoder must see every frame in the order of encoding.
  */
 
 import { Packr, Unpackr } from 'msgpackr'
@@ -10,7 +10,7 @@
 
 import { PacketScanner } from './PacketScanner.js'
 
-/** Raised with every change that an older process could misread; the handshake compares it. */
+/** Incremented with every change that an older process could misread. The handshake fails if the versions differ. */
 export const PROTOCOL_VERSION = 1
 
 const MAX_NAME_LENGTH = 64
@@ -18,14 +18,14 @@
 
 export const enum FrameKind { Call, Reply, Failure, Cast, Heartbeat, Retire, Closing }
 
-/** Why a call was not answered with a reply. */
+/** Why a call failed. */
 export const enum FailureKind {
-  /** The handler did not run: nothing took effect, another peer may be asked. */
+  /** The handler did not run. Nothing took effect, and the call may be sent to another peer. */
   NotRun,
-  /** The handler said no: nothing took effect. */
+  /** The handler refused the call. Nothing took effect. */
   Refused,
-  /** The handler broke off: it may have taken effect. */
-  Broken
+  /** The handler threw an unexpected error. The call may have taken effect. */
+  HandlerFailed
 }
 
 export interface ICallFrame { readonly kind: FrameKind.Call, readonly callId: number, readonly name: string, readonly ask: unknown }
@@ -39,33 +39,37 @@
   readonly message: string
 }
 export interface ICastFrame { readonly kind: FrameKind.Cast, readonly name: string, readonly cast: unknown }
-/** Heartbeat: a sign of life. Retire: the sender starts no more calls here. Closing: it takes no more calls. */
-export interface IBareFrame { readonly kind: FrameKind.Heartbeat | FrameKind.Retire | FrameKind.Closing }
-
-export type Frame = ICallFrame | IReplyFrame | IFailureFrame | ICastFrame | IBareFrame
-
-/** On the wire a frame is an array without field names. */
-export type WireFrame = readonly unknown[]
-
-/** Arrays before encoding; a frame's own shape is fixed, so only the bodies carry field names. */
-export const wire = {
-  call: (callId: number, name: string, ask: unknown): WireFrame => [FrameKind.Call, callId, name, ask],
-  reply: (callId: number, reply: unknown): WireFrame => [FrameKind.Reply, callId, reply],
-  failure: (callId: number, failure: FailureKind, step: string, peer: string, message: string): WireFrame =>
-    [FrameKind.Failure, callId, failure, shorten(step), shorten(peer), shorten(message)],
-  cast: (name: string, cast: unknown): WireFrame => [FrameKind.Cast, name, cast],
-  bare: (kind: IBareFrame['kind']): WireFrame => [kind]
+/**
+ * A frame without a body. `Heartbeat` shows that the sender is alive. `Retire`: the sender starts no more calls on this
+ * link. `Closing`: the sender accepts no more calls on this link.
+ */
+export interface IControlFrame { readonly kind: FrameKind.Heartbeat | FrameKind.Retire | FrameKind.Closing }
+
+export type Frame = ICallFrame | IReplyFrame | IFailureFrame | ICastFrame | IControlFrame
+
+/** A frame as it is encoded: an array of its field values, without field names. */
+export type FrameFields = readonly unknown[]
+
+/** Builds the arrays to encode. The fields of a frame are fixed, so only the message bodies need field names. */
+export const frameFields = {
+  call: (callId: number, name: string, ask: unknown): FrameFields => [FrameKind.Call, callId, name, ask],
+  reply: (callId: number, reply: unknown): FrameFields => [FrameKind.Reply, callId, reply],
+  failure: (callId: number, failure: FailureKind, step: string, peer: string, message: string): FrameFields =>
+    [FrameKind.Failure, callId, failure, truncate(step), truncate(peer), truncate(message)],
+  cast: (name: string, cast: unknown): FrameFields => [FrameKind.Cast, name, cast],
+  control: (kind: IControlFrame['kind']): FrameFields => [kind]
 }
 
 /**
  * Encodes and decodes the frames of one link.
  *
- * Records (shapes sent once) against plain maps for a request with a body of 1 KB, one run of 200,000 on Node 20:
- * 1.3 against 1.5 µs to encode, 1.9 against 2.8 µs to decode, 1,097 against 1,179 bytes.
+ * The codec uses records (shapes that are sent once) as they are faster and smaller than plain maps. For a request
+ * with a body of 1 KB on Node 20, mean of 200,000: 1.3 µs against 1.5 µs to encode, 1.9 µs against 2.8 µs to decode,
+ * and 1,097 bytes against 1,179 bytes.
  */
 export class FrameCodec {
   private _encoder = newEncoder()
-  // Bodies are copied out: a queued body of 1 KB would otherwise keep a socket's whole chunk of 64 KB alive.
+  // Bodies are copied out of the packet: a queued body of 1 KB would otherwise keep the socket's whole 64 KB chunk in memory.
   private readonly _decoder = new Unpackr({ sequential: true, copyBuffers: true })
 
   private readonly _scanner = new PacketScanner()
@@ -73,12 +77,12 @@
   public constructor (private readonly _maxFrameBytes: number) {}
 
   /**
-   * Encodes a frame, which must then be sent, or fails with the reason when it is too large or can't be encoded.
+   * Encodes a frame, which must then be sent, or returns the reason why the frame is too large or can't be encoded.
    *
-   * A refused frame may have defined shapes that the other side never hears of, and later frames that refer to
-   * them would be unreadable there. The encoder is therefore replaced: the new one defines each shape again.
+   * A rejected frame may contain definitions of shapes that the peer never receives, and the peer could not decode
+   * later frames that refer to these shapes. So the encoder is replaced by a new one, which defines each shape again.
    */
-  public encode (frame: WireFrame): Result<Uint8Array, string> {
+  public encode (frame: FrameFields): Result<Uint8Array, string> {
     let bytes: Uint8Array
     try {
       bytes = this._encoder.pack(frame)
@@ -91,7 +95,7 @@
     return err(`${bytes.length} bytes are over the limit of ${this._maxFrameBytes}`)
   }
 
-  /** Decodes all frames of a packet and checks their shape; any fault makes the whole packet an error. */
+  /** Decodes all frames of a packet and validates their fields. A single invalid frame makes the whole packet invalid. */
   public decode (packet: Uint8Array): Result<readonly Frame[], string> {
     const scanned = this._scanner.scan(packet)
     if (scanned.isErr()) return err(scanned.error)
@@ -99,7 +103,7 @@
     let fault: string | undefined
     try {
       this._decoder.unpackMultiple(packet, (value: unknown) => {
-        const frame = checkFrame(value)
+        const frame = parseFrame(value)
         if (frame === undefined) fault = 'unknown frame'
         else frames.push(frame)
         return fault === undefined
@@ -115,18 +119,18 @@
   return new Packr({ sequential: true })
 }
 
-function shorten (text: string): string {
+function truncate (text: string): string {
   return text.length <= MAX_TEXT_LENGTH ? text : text.slice(0, MAX_TEXT_LENGTH)
 }
 
-function checkFrame (value: unknown): Frame | undefined {
+function parseFrame (value: unknown): Frame | undefined {
   if (!Array.isArray(value)) return undefined
-  const fields = value as WireFrame
+  const fields = value as FrameFields
   switch (fields[0]) {
-    case FrameKind.Call: return checkCall(fields)
-    case FrameKind.Reply: return checkReply(fields)
-    case FrameKind.Failure: return checkFailure(fields)
-    case FrameKind.Cast: return checkCast(fields)
+    case FrameKind.Call: return parseCall(fields)
+    case FrameKind.Reply: return parseReply(fields)
+    case FrameKind.Failure: return parseFailure(fields)
+    case FrameKind.Cast: return parseCast(fields)
     case FrameKind.Heartbeat:
     case FrameKind.Retire:
     case FrameKind.Closing: return fields.length === 1 ? { kind: fields[0] } : undefined
@@ -134,26 +138,26 @@
   }
 }
 
-function checkCall (fields: WireFrame): ICallFrame | undefined {
+function parseCall (fields: FrameFields): ICallFrame | undefined {
   const [, callId, name, ask] = fields
   if (fields.length !== 4 || !isCallId(callId) || !isName(name)) return undefined
   return { kind: FrameKind.Call, callId, name, ask }
 }
 
-function checkReply (fields: WireFrame): IReplyFrame | undefined {
+function parseReply (fields: FrameFields): IReplyFrame | undefined {
   const [, callId, reply] = fields
   if (fields.length !== 3 || !isCallId(callId)) return undefined
   return { kind: FrameKind.Reply, callId, reply }
 }
 
-function checkFailure (fields: WireFrame): IFailureFrame | undefined {
+function parseFailure (fields: FrameFields): IFailureFrame | undefined {
   const [, callId, failure, step, peer, message] = fields
   if (fields.length !== 6 || !isCallId(callId) || !isFailureKind(failure)) return undefined
   if (!isText(step) || !isText(peer) || !isText(message)) return undefined
   return { kind: FrameKind.Failure, callId, failure, step, peer, message }
 }
 
-function checkCast (fields: WireFrame): ICastFrame | undefined {
+function parseCast (fields: FrameFields): ICastFrame | undefined {
   const [, name, cast] = fields
   if (fields.length !== 3 || !isName(name)) return undefined
   return { kind: FrameKind.Cast, name, cast }
@@ -172,5 +176,5 @@
 }
 
 function isFailureKind (value: unknown): value is FailureKind {
-  return value === FailureKind.NotRun || value === FailureKind.Refused || value === FailureKind.Broken
+  return value === FailureKind.NotRun || value === FailureKind.Refused || value === FailureKind.HandlerFailed
 }
--- a/src/peer/HandlerTable.ts
+++ b/src/peer/HandlerTable.ts
@@ -1,5 +1,5 @@
 /**
- * What a process answers and hears, by name of the message.
+ * The call handlers and cast listeners of a process, by message name.
  */
 
 import { Emitter } from '../common/Emitter.js'
@@ -10,44 +10,45 @@
 
 export type CallHandler = (ask: unknown, from: IProcessIdentity) => Promise<unknown>
 
-interface IHeardCast {
+interface IReceivedCast {
   readonly cast: unknown
   readonly from: IProcessIdentity
 }
 
 export class HandlerTable {
   private readonly _handlers = new Map<string, CallHandler>()
-  private readonly _casts = new Map<string, Emitter<IHeardCast>>()
+  private readonly _castEmitters = new Map<string, Emitter<IReceivedCast>>()
 
   public setHandler (name: string, handler: CallHandler): void {
     this._handlers.set(name, handler)
   }
 
   public addListener (name: string, listener: (cast: unknown, from: IProcessIdentity) => void): IDisposable {
-    let emitter = this._casts.get(name)
+    let emitter = this._castEmitters.get(name)
     if (emitter === undefined) {
-      emitter = new Emitter<IHeardCast>()
-      this._casts.set(name, emitter)
+      emitter = new Emitter<IReceivedCast>()
+      this._castEmitters.set(name, emitter)
     }
     return emitter.event(({ cast, from }) => listener(cast, from))
   }
 
-  public handler (name: string): CallHandler | undefined {
+  public getHandler (name: string): CallHandler | undefined {
     return this._handlers.get(name)
   }
 
-  /** Tells all listeners; what one of them throws reaches the caller. */
+  /** Passes a cast to all its listeners. An error that a listener throws is passed on to the caller. */
   public deliver (name: string, cast: unknown, from: IProcessIdentity): void {
-    this._casts.get(name)?.fire({ cast, from })
+    this._castEmitters.get(name)?.fire({ cast, from })
   }
 }
 
 /**
- * What a handler's error says about its effect. Only an error that states that nothing took effect is passed on as
- * such; after any other the caller must assume that it may have.
+ * The failure that the caller is told of, by the error that the handler threw. Only `UnreachableError` and
+ * `RefusedError` state that nothing took effect. After any other error the caller must assume that the call may have
+ * taken effect.
  */
-export function failureOf (error: unknown): FailureKind {
+export function failureKindOf (error: unknown): FailureKind {
   if (error instanceof UnreachableError) return FailureKind.NotRun
   if (error instanceof RefusedError) return FailureKind.Refused
-  return FailureKind.Broken
+  return FailureKind.HandlerFailed
 }
--- a/src/peer/Handshake.test.ts
+++ b/src/peer/Handshake.test.ts
@@ -1,5 +1,5 @@
 /**
- * The handshake without sockets: who gets in, and what it does with messages of strangers.
+ * Tests of the handshake without sockets: which processes it authenticates, and how it treats invalid messages.
  */
 
 import test from 'ava'
@@ -27,49 +27,49 @@
 
 test('two processes with the same key learn each other\'s identity', (t) => {
   const { dialler, listener } = pair()
-  const challenge = listener.receive(dialler.hello())
+  const challenge = listener.receive(dialler.createHello())
   const answer = dialler.receive(bytesOf(challenge))
-  const proven = listener.receive(bytesOf(answer))
-  t.is(proven.kind === 'proven' ? proven.peer.processId : proven.kind, 'a')
-  const welcomed = dialler.receive(bytesOf(proven))
-  t.is(welcomed.kind === 'proven' ? welcomed.peer.processId : welcomed.kind, 'b')
-  t.is(listener.receive(bytesOf(answer)).kind, 'failed', 'nothing may follow')
+  const authenticated = listener.receive(bytesOf(answer))
+  t.is(authenticated.kind === 'authenticated' ? authenticated.peer.processId : authenticated.kind, 'a')
+  const welcomed = dialler.receive(bytesOf(authenticated))
+  t.is(welcomed.kind === 'authenticated' ? welcomed.peer.processId : welcomed.kind, 'b')
+  t.is(listener.receive(bytesOf(answer)).kind, 'failed', 'no message may follow')
 })
 
-test('another key, another version, another process and somebody else\'s proof fail', (t) => {
+test('a different key, a different version and an unexpected process fail', (t) => {
   const otherKey = pair('another key of this length')
-  t.deepEqual(otherKey.dialler.receive(bytesOf(otherKey.listener.receive(otherKey.dialler.hello()))), { kind: 'failed', reason: 'wrong key' })
+  t.deepEqual(otherKey.dialler.receive(bytesOf(otherKey.listener.receive(otherKey.dialler.createHello()))), { kind: 'failed', reason: 'wrong key' })
 
   const { dialler, listener } = pair()
-  const hello = Buffer.from(JSON.stringify({ ...parse(dialler.hello()), version: 999 }))
+  const hello = Buffer.from(JSON.stringify({ ...parse(dialler.createHello()), version: 999 }))
   t.deepEqual(listener.receive(hello), { kind: 'failed', reason: 'protocol version 999' })
 
   const elsewhere = new Handshake('listener', identity('c'), TEST_KEY)
-  t.deepEqual(dialler.receive(bytesOf(elsewhere.receive(dialler.hello()))), { kind: 'failed', reason: 'c answered' })
+  t.deepEqual(dialler.receive(bytesOf(elsewhere.receive(dialler.createHello()))), { kind: 'failed', reason: 'c answered' })
 })
 
-test('a proof that was overheard or sent back does not let a stranger in', (t) => {
-  // A stranger who can read the network records a handshake and plays it again, or sends the listener its own proof.
-  // If that were enough, the key would protect nothing.
+test('a proof that is replayed or reflected is rejected', (t) => {
+  // An attacker who can read the network records a handshake and replays it, or sends the listener's own proof back to
+  // it. If the listener accepted such a proof, the key would protect nothing.
   const { dialler, listener } = pair()
-  const hello = dialler.hello()
+  const hello = dialler.createHello()
   const challenge = bytesOf(listener.receive(hello))
   const answer = bytesOf(dialler.receive(challenge))
   const again = new Handshake('listener', identity('b'), TEST_KEY)
   again.receive(hello)
-  t.is(again.receive(answer).kind, 'failed', 'played again')
+  t.is(again.receive(answer).kind, 'failed', 'replayed proof')
   const mirror = new Handshake('listener', identity('b'), TEST_KEY)
   const proof = parse(bytesOf(mirror.receive(hello)))['proof']
-  t.is(mirror.receive(Buffer.from(JSON.stringify({ proof }))).kind, 'failed', 'sent back')
+  t.is(mirror.receive(Buffer.from(JSON.stringify({ proof }))).kind, 'failed', 'reflected proof')
 })
 
-test('arbitrary bytes and arbitrary JSON never let anybody in, and never throw', (t) => {
+test('arbitrary bytes and arbitrary JSON never authenticate and never throw', (t) => {
   const message = fc.oneof(fc.uint8Array({ maxLength: 300 }), fc.json().map((text) => Buffer.from(text)), fc.record({
     version: fc.constantFrom(1, 2, '1'), identity: fc.anything(), nonce: fc.base64String(), proof: fc.base64String()
   }).map((value) => Buffer.from(JSON.stringify(value))))
   fc.assert(fc.property(fc.constantFrom('dialler' as const, 'listener' as const), fc.array(message, { maxLength: 4 }), (role, messages) => {
     const handshake = new Handshake(role, identity('a'), TEST_KEY)
-    for (const bytes of messages) if (handshake.receive(bytes).kind === 'proven') t.fail('let in')
+    for (const bytes of messages) if (handshake.receive(bytes).kind === 'authenticated') t.fail('authenticated by arbitrary messages')
   }), { seed: SEED, numRuns: 2_000 })
   t.pass()
 })
--- a/src/peer/Handshake.ts
+++ b/src/peer/Handshake.ts
@@ -1,17 +1,17 @@
 /**
- * How two processes prove to each other that they hold the shared key, before any message is read. Free of sockets:
- * bytes in, bytes out.
+ * Mutual authentication of two processes by the shared key, before any other message is read. This module does no
+ * I/O: it takes and returns bytes.
  *
  *     dialler → listener   hello: version, identity, nonce
  *     listener → dialler   challenge: version, identity, nonce, proof of the listener
  *     dialler → listener   proof of the dialler
- *     listener → dialler   welcome, or why not
+ *     listener → dialler   welcome, or the reason of a refusal
  *
- * A proof is an HMAC over the role, both nonces and both identities. The role keeps a proof from being sent back to
- * its maker; the nonces keep one from being used again; the identities keep it from vouching for somebody else.
+ * A proof is an HMAC over the role, both nonces and both identities. The role prevents reflection of a proof to the
+ * process that made it, the nonces prevent replay, and the identities prevent use of a proof for another process.
  *
- * The messages are JSON, not msgpack as on a proven link: a stranger could make the msgpack decoder reserve hundreds
- * of megabytes with five bytes, and JSON takes memory only in proportion to its text.
+ * The messages are JSON, not msgpack as on an authenticated link. With msgpack, five bytes from an unauthenticated
+ * connection could make the decoder allocate hundreds of megabytes; JSON takes memory in proportion to its text.
  */
 
 import { createHmac, randomBytes, timingSafeEqual } from 'node:crypto'
@@ -29,8 +29,8 @@
 
 export type HandshakeStep =
   | { readonly kind: 'send', readonly bytes: Uint8Array }
-  /** The other side has proved itself. The listener sends `bytes`, its welcome, once it wants the link. */
-  | { readonly kind: 'proven', readonly peer: IProcessIdentity, readonly bytes?: Uint8Array }
+  /** The other side is authenticated. `bytes` is the welcome of the listener, which sends it if it accepts the link. */
+  | { readonly kind: 'authenticated', readonly peer: IProcessIdentity, readonly bytes?: Uint8Array }
   | { readonly kind: 'failed', readonly reason: string }
 
 const identityShape = z.strictObject({
@@ -39,12 +39,12 @@
   region: z.string().max(MAX_ID_LENGTH),
   failureDomain: z.string().max(MAX_ID_LENGTH)
 })
-const nonceShape = bytesShape(NONCE_BYTES)
-const proofShape = bytesShape(PROOF_BYTES)
+const nonceShape = base64Shape(NONCE_BYTES)
+const proofShape = base64Shape(PROOF_BYTES)
 const helloShape = z.strictObject({ version: z.number(), identity: identityShape, nonce: nonceShape })
 const challengeShape = helloShape.extend({ proof: proofShape })
 const answerShape = z.strictObject({ proof: proofShape })
-const verdictShape = z.strictObject({ refused: z.string().max(MAX_ID_LENGTH).optional() })
+const welcomeShape = z.strictObject({ refused: z.string().max(MAX_ID_LENGTH).optional() })
 
 interface IHello {
   readonly identity: IProcessIdentity
@@ -60,33 +60,33 @@
     private readonly _role: HandshakeRole,
     private readonly _self: IProcessIdentity,
     private readonly _sharedKey: string | Uint8Array,
-    /** The process that was dialled, when known. */
+    /** The process id that the dialler expects. */
     private readonly _expectedProcessId?: string
   ) {}
 
   /** The first message of the dialler. */
-  public hello (): Uint8Array {
-    return encode({ version: PROTOCOL_VERSION, identity: plainIdentity(this._self), nonce: toText(this._nonce) })
+  public createHello (): Uint8Array {
+    return encode({ version: PROTOCOL_VERSION, identity: pickIdentity(this._self), nonce: toBase64(this._nonce) })
   }
 
-  /** Tells a dialler that has proved itself why there will be no link. */
-  public static refusal (reason: string): Uint8Array {
+  /** The message that tells an authenticated dialler why the listener refuses the link. */
+  public static createRefusal (reason: string): Uint8Array {
     return encode({ refused: reason.slice(0, MAX_ID_LENGTH) })
   }
 
-  /** Takes the other side's next message. After `proven` or `failed` nothing more may come. */
+  /** Processes the next message of the other side. After `authenticated` or `failed` any further message is an error. */
   public receive (bytes: Uint8Array): HandshakeStep {
-    const step = this._step(decode(bytes))
+    const step = this._processMessage(decode(bytes))
     if (step.kind !== 'send') this._phase = 'ended'
     return step
   }
 
-  private _step (message: unknown): HandshakeStep {
-    if (this._phase === 'ended') return failed('a message after the end of the handshake')
+  private _processMessage (message: unknown): HandshakeStep {
+    if (this._phase === 'ended') return failed('message received after the end of the handshake')
     if (this._role === 'listener') {
       return this._phase === 'start' ? this._onHello(message) : this._onAnswer(message)
     }
-    return this._phase === 'start' ? this._onChallenge(message) : this._onVerdict(message)
+    return this._phase === 'start' ? this._onChallenge(message) : this._onWelcome(message)
   }
 
   private _onHello (message: unknown): HandshakeStep {
@@ -97,9 +97,9 @@
     this._phase = 'answer'
     const challenge = {
       version: PROTOCOL_VERSION,
-      identity: plainIdentity(this._self),
-      nonce: toText(this._nonce),
-      proof: toText(this._proof('listener', hello.data))
+      identity: pickIdentity(this._self),
+      nonce: toBase64(this._nonce),
+      proof: toBase64(this._createProof('listener', hello.data))
     }
     return { kind: 'send', bytes: encode(challenge) }
   }
@@ -108,30 +108,30 @@
     const challenge = challengeShape.safeParse(message)
     if (!challenge.success) return failed('malformed challenge')
     if (challenge.data.version !== PROTOCOL_VERSION) return failed(`protocol version ${challenge.data.version}`)
-    if (!timingSafeEqual(this._proof('listener', challenge.data), challenge.data.proof)) return failed('wrong key')
+    if (!timingSafeEqual(this._createProof('listener', challenge.data), challenge.data.proof)) return failed('wrong key')
     const { processId } = challenge.data.identity
     if (this._expectedProcessId !== undefined && processId !== this._expectedProcessId) return failed(`${processId} answered`)
     this._peer = challenge.data
     this._phase = 'answer'
-    return { kind: 'send', bytes: encode({ proof: toText(this._proof('dialler', challenge.data)) }) }
+    return { kind: 'send', bytes: encode({ proof: toBase64(this._createProof('dialler', challenge.data)) }) }
   }
 
   private _onAnswer (message: unknown): HandshakeStep {
     const answer = answerShape.safeParse(message)
     if (!answer.success || this._peer === undefined) return failed('malformed answer')
-    if (!timingSafeEqual(this._proof('dialler', this._peer), answer.data.proof)) return failed('wrong key')
-    return { kind: 'proven', peer: this._peer.identity, bytes: encode({}) }
+    if (!timingSafeEqual(this._createProof('dialler', this._peer), answer.data.proof)) return failed('wrong key')
+    return { kind: 'authenticated', peer: this._peer.identity, bytes: encode({}) }
   }
 
-  private _onVerdict (message: unknown): HandshakeStep {
-    const verdict = verdictShape.safeParse(message)
-    if (!verdict.success || this._peer === undefined) return failed('malformed verdict')
-    if (verdict.data.refused !== undefined) return failed(`refused: ${verdict.data.refused}`)
-    return { kind: 'proven', peer: this._peer.identity }
+  private _onWelcome (message: unknown): HandshakeStep {
+    const welcome = welcomeShape.safeParse(message)
+    if (!welcome.success || this._peer === undefined) return failed('malformed welcome')
+    if (welcome.data.refused !== undefined) return failed(`refused: ${welcome.data.refused}`)
+    return { kind: 'authenticated', peer: this._peer.identity }
   }
 
-  private _proof (role: HandshakeRole, peer: IHello): Buffer {
-    const [dialler, listener] = this._role === 'dialler' ? [this._own, peer] : [peer, this._own]
+  private _createProof (role: HandshakeRole, peer: IHello): Buffer {
+    const [dialler, listener] = this._role === 'dialler' ? [this._ownHello, peer] : [peer, this._ownHello]
     return createHmac('sha256', this._sharedKey)
       .update(JSON.stringify([PROTOCOL_VERSION, role, identityFields(dialler.identity), identityFields(listener.identity)]))
       .update(dialler.nonce)
@@ -139,17 +139,17 @@
       .digest()
   }
 
-  private get _own (): IHello {
+  private get _ownHello (): IHello {
     return { identity: this._self, nonce: this._nonce }
   }
 }
 
-/** Bytes of a fixed size, in base64. */
-function bytesShape (size: number): z.ZodType<Uint8Array> {
+/** Schema of a base64 text that encodes `size` bytes. */
+function base64Shape (size: number): z.ZodType<Uint8Array> {
   return z.base64().transform((text): Uint8Array => Buffer.from(text, 'base64')).refine((bytes) => bytes.length === size)
 }
 
-function toText (bytes: Uint8Array): string {
+function toBase64 (bytes: Uint8Array): string {
   return Buffer.from(bytes).toString('base64')
 }
 
@@ -169,7 +169,7 @@
   return { kind: 'failed', reason }
 }
 
-function plainIdentity (identity: IProcessIdentity): IProcessIdentity {
+function pickIdentity (identity: IProcessIdentity): IProcessIdentity {
   const { processId, incarnation, region, failureDomain } = identity
   return { processId, incarnation, region, failureDomain }
 }
--- a/src/peer/HeartbeatMonitor.test.ts
+++ b/src/peer/HeartbeatMonitor.test.ts
@@ -1,5 +1,5 @@
 /**
- * Silence of a peer, told apart from a pause of our own.
+ * Tests that the silence of a peer is distinguished from a pause of this process.
  */
 
 import test from 'ava'
@@ -17,28 +17,28 @@
   return { clock, awake, monitor: new HeartbeatMonitor(awake, LIMIT_MS) }
 }
 
-test('a peer that sends nothing for the limit is silent; part of a message is a sign of life', (t) => {
+test('a peer that sends nothing for the time limit is silent, and one that sends part of a message is not', (t) => {
   const { clock, awake, monitor } = start()
   for (let tick = 0; tick < 10; tick++) {
     clock.advance(PERIOD_MS)
     awake.tick()
-    monitor.noteReceived(tick)
+    monitor.updateReceived(tick)
   }
   t.false(monitor.isSilent())
   for (let tick = 0; tick < 5; tick++) {
     clock.advance(PERIOD_MS)
     awake.tick()
-    monitor.noteReceived(9)
+    monitor.updateReceived(9)
   }
   t.true(monitor.isSilent())
 })
 
-test('our own pause is not taken for the silence of the peer', (t) => {
-  // The process is stopped for a minute. When it wakes, its timers fire before its sockets are read, and by the clock
-  // everybody has been silent. If it believed that, each pause would cost it all its links.
+test('a pause of this process does not count as silence of the peer', (t) => {
+  // The process is stopped for a minute. When it resumes, its timers fire before its sockets are read, and by the clock
+  // all peers have been silent. If this counted as silence, the process would lose all its links with each pause.
   const { clock, awake, monitor } = start()
   clock.advance(60_000)
   awake.tick()
-  monitor.noteReceived(0)
+  monitor.updateReceived(0)
   t.false(monitor.isSilent())
 })
--- a/src/peer/HeartbeatMonitor.ts
+++ b/src/peer/HeartbeatMonitor.ts
@@ -1,27 +1,27 @@
 /**
- * Decides when a peer has been silent for too long, in time during which this process was itself awake.
+ * Decides when a peer has been silent for too long. Only the time during which this process itself was running counts.
  */
 
 import type { AwakeClock } from '../common/AwakeClock.js'
 
-/** Watches one link: whether anything was received on it since the last tick. */
+/** Monitors one link: whether bytes were received on it since the last tick. */
 export class HeartbeatMonitor {
-  private _heardAtAwakeMs: number
+  private _lastReceivedAwakeMs: number
   private _receivedBytes = 0
 
-  public constructor (private readonly _awake: AwakeClock, private readonly _silenceLimitMs: number) {
-    this._heardAtAwakeMs = _awake.awakeMs
+  public constructor (private readonly _awakeClock: AwakeClock, private readonly _silenceLimitMs: number) {
+    this._lastReceivedAwakeMs = _awakeClock.awakeMs
   }
 
-  /** Whether anything came since the last tick: part of a large message is a sign of life too. */
-  public noteReceived (receivedBytes: number): boolean {
+  /** Returns whether bytes were received since the last call. Part of a large message also shows that the peer is alive. */
+  public updateReceived (receivedBytes: number): boolean {
     if (receivedBytes === this._receivedBytes) return false
     this._receivedBytes = receivedBytes
-    this._heardAtAwakeMs = this._awake.awakeMs
+    this._lastReceivedAwakeMs = this._awakeClock.awakeMs
     return true
   }
 
   public isSilent (): boolean {
-    return this._awake.awakeMs - this._heardAtAwakeMs > this._silenceLimitMs
+    return this._awakeClock.awakeMs - this._lastReceivedAwakeMs > this._silenceLimitMs
   }
 }
--- a/src/peer/LinkSet.ts
+++ b/src/peer/LinkSet.ts
@@ -1,5 +1,6 @@
 /**
- * The connections of one hub: puts new ones in, drains or drops those they replace, and lets go what nobody wants.
+ * The connections of one hub: installs new links, drains or closes the links that they replace, and closes links that
+ * are no longer needed.
  */
 
 import { AwakeClock } from '../common/AwakeClock.js'
@@ -15,9 +16,9 @@
 import { PeerSocket } from './PeerSocket.js'
 import { TrafficMeter } from './TrafficMeter.js'
 import type { IPeerLink, IPeerTraffic, LinkLossCause } from './Types.js'
-import { within } from './Within.js'
+import { waitAtMost } from './Within.js'
 
-/** How long a close waits for the peer's side of it after the calls have ended, in milliseconds. */
+/** How long `drain` waits for the peers to close their side after the calls have ended, in milliseconds. */
 const CLOSE_FLUSH_MS = 1_000
 
 export interface ILostLink {
@@ -25,17 +26,17 @@
   readonly cause: LinkLossCause
 }
 
-export type LinkSetContext = Omit<ILinkContext, 'awake' | 'onGone'> & {
+export type LinkSetContext = Omit<ILinkContext, 'awakeClock' | 'onLinkClosed'> & {
   readonly self: IProcessIdentity
-  /** Whether this process dials the other one, so that its link is to be kept. */
-  isWanted (processId: string): boolean
+  /** Whether a user of this hub dials the process, so that the link to it must be kept. */
+  isDialled (processId: string): boolean
 }
 
 export class LinkSet {
   private readonly _links: LinkTable<PeerLink>
-  /** Every connection that is not gone, those included that are being replaced. */
-  private readonly _open = new Set<PeerLink>()
-  private readonly _awake: AwakeClock
+  /** All open connections, including those that are being replaced. */
+  private readonly _openLinks = new Set<PeerLink>()
+  private readonly _awakeClock: AwakeClock
   private readonly _linkContext: ILinkContext
   private readonly _traffic: TrafficMeter
   private readonly _linkEmitter = new Emitter<IPeerLink>()
@@ -48,8 +49,8 @@
     const { self, options, environment } = _context
     this._links = new LinkTable(self.processId)
     this._traffic = new TrafficMeter(self.region)
-    this._awake = new AwakeClock(environment.clock, options.heartbeatMs)
-    this._linkContext = { ..._context, awake: this._awake, onGone: (link, reason) => this._onGone(link, reason) }
+    this._awakeClock = new AwakeClock(environment.clock, options.heartbeatMs)
+    this._linkContext = { ..._context, awakeClock: this._awakeClock, onLinkClosed: (link, reason) => this._onLinkClosed(link, reason) }
   }
 
   public get (processId: string): PeerLink | undefined {
@@ -61,32 +62,32 @@
   }
 
   public traffic (): IPeerTraffic {
-    return this._traffic.total(this._open)
+    return this._traffic.total(this._openLinks)
   }
 
-  /** Whether a new connection that has proved itself should become the link to its process. */
+  /** Decides whether a new authenticated connection becomes the link to its process. */
   public admit (peer: IProcessIdentity, dialledBySelf: boolean): Admission<PeerLink> {
     return this._links.admit(peer, dialledBySelf)
   }
 
-  /** Puts a connection in as the link to its process, in place of the one it was admitted against. */
+  /** Installs an admitted connection as the link to its process, in place of `admission.replaced`. */
   public install (admission: Admission<PeerLink> & { readonly kind: 'admitted' }, link: PeerLink): void {
-    const { replaced, atOnce } = admission
-    if (replaced !== undefined && atOnce) replaced.lose('replaced by a newer connection')
-    this._open.add(link)
+    const { replaced, isImmediate } = admission
+    if (replaced !== undefined && isImmediate) replaced.terminate('replaced by a newer connection')
+    this._openLinks.add(link)
     this._links.set(link)
-    if (replaced !== undefined && !atOnce) replaced.retire(link)
+    if (replaced !== undefined && !isImmediate) replaced.retire(link)
     const { processId, incarnation } = link.peer
     this._context.environment.log?.info('peer.linked', { peer: processId, incarnation, dialledBySelf: link.dialledBySelf })
     this._linkEmitter.fire(link)
   }
 
   /**
-   * The peer has welcomed a connection that we no longer need, and may have sent calls on it already. If we just
-   * closed it, they would end as ambiguous although nothing failed; so it is drained like one that was in use.
+   * Drains a connection that is not needed because `kept` exists. The peer has accepted the connection and may have
+   * sent calls on it. If the connection were closed at once, these calls would end as ambiguous although nothing failed.
    */
   public retire (link: PeerLink, kept: PeerLink): void {
-    this._open.add(link)
+    this._openLinks.add(link)
     link.retire(kept)
   }
 
@@ -94,53 +95,53 @@
     return new PeerLink(peer, dialledBySelf, new PeerSocket(webSocket, tcp), this._linkContext)
   }
 
-  /** To be called every heartbeat. */
+  /** Must be called once per heartbeat period. */
   public tick (): void {
-    this._awake.tick()
-    for (const link of [...this._open]) {
+    this._awakeClock.tick()
+    for (const link of [...this._openLinks]) {
       link.tick()
-      if (this._isUnwanted(link)) this._letGo(link)
+      if (this._isUnused(link)) this._drainAndClose(link)
     }
   }
 
-  /** Takes no more calls, waits up to `graceMs` for those in flight, then closes all connections. */
+  /** Accepts no more calls, waits up to `graceMs` for the calls in flight, then closes all connections. */
   public async drain (graceMs: number): Promise<void> {
     const { timers } = this._context.environment
-    const links = [...this._open]
-    for (const link of links) link.stopTakingCalls()
-    await within(timers, graceMs, whenAllDrained(links))
-    const gone = Promise.all(links.map((link) => link.whenGone()))
-    for (const link of links) link.finish()
-    await within(timers, CLOSE_FLUSH_MS, gone)
+    const links = [...this._openLinks]
+    for (const link of links) link.stopAcceptingCalls()
+    await waitAtMost(timers, graceMs, whenAllDrained(links))
+    const closed = Promise.all(links.map((link) => link.whenClosed()))
+    for (const link of links) link.closeGracefully()
+    await waitAtMost(timers, CLOSE_FLUSH_MS, closed)
   }
 
-  /** Drops everything at once. */
+  /** Closes all connections at once. */
   public dispose (): void {
-    for (const link of [...this._open]) link.lose('closed here')
+    for (const link of [...this._openLinks]) link.terminate('closed by this process')
     this._linkEmitter.dispose()
     this._lostEmitter.dispose()
   }
 
-  private _isUnwanted (link: PeerLink): boolean {
-    return link.dialledBySelf && !link.isDraining && link.busy === 0 && !this._context.isWanted(link.peer.processId)
+  private _isUnused (link: PeerLink): boolean {
+    return link.dialledBySelf && !link.isDraining && link.callsInFlight === 0 && !this._context.isDialled(link.peer.processId)
   }
 
-  private async _letGo (link: PeerLink): Promise<void> {
-    link.stopTakingCalls()
+  private async _drainAndClose (link: PeerLink): Promise<void> {
+    link.stopAcceptingCalls()
     await link.whenDrained()
-    link.finish()
+    link.closeGracefully()
   }
 
-  private _onGone (link: PeerLink, reason: string): void {
-    this._open.delete(link)
-    this._traffic.addEnded(link)
+  private _onLinkClosed (link: PeerLink, reason: string): void {
+    this._openLinks.delete(link)
+    this._traffic.addClosed(link)
     if (!this._links.remove(link)) return
     this._context.environment.log?.info('peer.lost', { peer: link.peer.processId, incarnation: link.peer.incarnation, reason })
     this._lostEmitter.fire({ peer: link.peer, cause: link.isReleased ? 'released' : reason === SILENT_REASON ? 'silent' : 'failed' })
   }
 }
 
-/** A handler in progress on one link may still make a call on another one that was drained before. */
+/** Checks all links again after each wait: a handler in progress on one link may make a call on a link that was drained before. */
 async function whenAllDrained (links: readonly PeerLink[]): Promise<void> {
   while (!links.every((link) => link.isDrained)) await Promise.all(links.map((link) => link.whenDrained()))
 }
--- a/src/peer/LinkTable.test.ts
+++ b/src/peer/LinkTable.test.ts
@@ -1,5 +1,5 @@
 /**
- * Which of two connections is kept.
+ * Tests of which of two connections to the same process is kept.
  */
 
 import test from 'ava'
@@ -18,9 +18,9 @@
 
 const SEED = 20261202
 
-test('two processes that dial each other at once keep the same connection, whatever the order of events', (t) => {
-  // Each side sees the two connections become ready at moments of its own. If the sides chose differently, each would
-  // close the one that the other keeps, and they would have no link.
+test('two processes that dial each other at the same time keep the same connection, in any order of events', (t) => {
+  // The two connections may become ready in a different order on each side. If the sides chose different connections,
+  // each would close the one that the other keeps, and they would have no link.
   const order = fc.shuffledSubarray([0, 1], { minLength: 2 })
   fc.assert(fc.property(order, order, fc.boolean(), (orderA, orderB, aIsSmaller) => {
     const [idA, idB] = aIsSmaller ? ['a', 'b'] : ['b', 'a']
@@ -37,10 +37,10 @@
   }), { seed: SEED })
 })
 
-test('a newer incarnation replaces an older one, an older one is refused', (t) => {
+test('a newer incarnation replaces an older one, and an older incarnation is refused', (t) => {
   const table = new LinkTable<ITestConnection>('a')
   table.set({ id: 1, peer: identity('b', 5), dialledBySelf: true })
   t.is(table.admit(identity('b', 4), true).kind, 'refused')
-  t.like(table.admit(identity('b', 6), false), { kind: 'admitted', atOnce: true })
-  t.is(table.admit(identity('a', 9), false).kind, 'refused', 'another process under our own name')
+  t.like(table.admit(identity('b', 6), false), { kind: 'admitted', isImmediate: true })
+  t.is(table.admit(identity('a', 9), false).kind, 'refused', 'another process with the same process id')
 })
--- a/src/peer/MemberProber.ts
+++ b/src/peer/MemberProber.ts
@@ -1,10 +1,10 @@
 /**
- * Dials a member that this process has no link to, one at a time and now and then.
+ * Periodically dials one random member that this process has no link to.
  *
- * Two things would go unnoticed without it. Members whose linked peers died together with them, as when a failure
- * domain is lost while the store is down, would stay in all lists as alive. And two halves of a healed partition,
- * each of which holds the other for dead, would never dial each other again. The cost is one handshake per period
- * and process, whatever the number of members.
+ * Two conditions would go undetected without probes. If a failure domain is lost while the store is down, members
+ * may die together with all peers that had links to them, and would stay alive in every member list. And after a
+ * partition has healed, its two sides consider each other dead and would never dial each other again. The cost is one
+ * handshake per period and process, whatever the number of members.
  */
 
 import type { Membership } from '../common/membership/Membership.js'
@@ -22,7 +22,7 @@
 export class MemberProber implements IDisposable {
   private _timer: IDisposable | undefined
   private _probe: IDisposable | undefined
-  private _isDeadTurn = false
+  private _isProbingDead = false
 
   public constructor (
     private readonly _hub: IPeerHub,
@@ -32,7 +32,7 @@
     private readonly _environment: Pick<IPeerEnvironment, 'timers' | 'random'>
   ) {}
 
-  /** Probes after a random part of the period, and so on. */
+  /** Starts a probe after a random delay of 0.5 to 1.5 periods, and repeats this after each probe. */
   public start (): void {
     const delayMs = this._options.probeMs * (0.5 + this._environment.random.next())
     this._timer = this._environment.timers.after(delayMs, () => {
@@ -47,15 +47,15 @@
     this._probe?.dispose()
   }
 
-  /** By turns the dead, to find a healed partition, and the others, to find the dead. */
+  /** Alternates between dead members, to detect a healed partition, and the other members, to detect that they have died. */
   private _candidates (): readonly IMember[] {
-    this._isDeadTurn = !this._isDeadTurn
+    this._isProbingDead = !this._isProbingDead
     const unlinked = this._membership.members().filter((member) =>
       member.processId !== this._selfId && this._hub.link(member.processId) === undefined)
     const dead = unlinked.filter((member) => member.state === 'dead')
     const others = unlinked.filter((member) => member.state !== 'dead')
     const deadOrForgotten = [...dead, ...this._membership.inStoreButDead()]
-    const [first, second] = this._isDeadTurn ? [deadOrForgotten, others] : [others, deadOrForgotten]
+    const [first, second] = this._isProbingDead ? [deadOrForgotten, others] : [others, deadOrForgotten]
     return first.length > 0 ? first : second
   }
 
--- a/src/peer/MembershipAgent.test.ts
+++ b/src/peer/MembershipAgent.test.ts
@@ -1,5 +1,5 @@
 /**
- * Membership over real links of 127.0.0.1.
+ * Tests of membership over real links on 127.0.0.1.
  */
 
 import test from 'ava'
@@ -43,9 +43,9 @@
 
 test.after.always(disposeAll)
 
-test('processes that know one other find all, hear of a death, and of a restart under another address', async (t) => {
-  // The store is down. Processes start with one address from their settings; later one of them is killed and started
-  // again. All others must come to know this from each other alone.
+test('processes that know one peer find all members, and learn of a death and of a restart at another address', async (t) => {
+  // The store is down. Processes start with one address from their settings. Later one of them is killed and started
+  // again. All others must learn of this from each other alone.
   const a = await startAgent('a', [])
   const seeds = [{ processId: 'a', peerUrl: a.url }]
   const b = await startAgent('b', seeds)
@@ -60,7 +60,7 @@
   for (const running of [a, c, again]) stop(running)
 })
 
-test('a process that leaves gets no new work from then on, and is dead when it has gone', async (t) => {
+test('a process that is leaving receives no new work, and is dead after it has stopped', async (t) => {
   const a = await startAgent('a', [])
   const b = await startAgent('b', [{ processId: 'a', peerUrl: a.url }])
   await until(() => a.agent.routableSchedulers().length === 1 && b.agent.routableSchedulers().length === 1)
--- a/src/peer/MembershipAgent.ts
+++ b/src/peer/MembershipAgent.ts
@@ -1,6 +1,6 @@
 /**
- * Wires membership to the links: tells it what the links and the store say, sends its casts, and dials whom it
- * chooses.
+ * Connects `Membership` to the links of the hub: reports link and store events to it, sends its casts, and dials the
+ * members that `PeerSelection` selects.
  */
 
 import { Membership } from '../common/membership/Membership.js'
@@ -17,7 +17,7 @@
 import type { IPeerEnvironment } from './PeerHubOptions.js'
 import type { IPeerHub } from './Types.js'
 
-/** A process to start from when neither the store nor a peer has told of any. */
+/** A process to dial when neither the store nor a peer has reported any members. */
 export interface ISeedPeer {
   readonly processId: string
   readonly peerUrl: string
@@ -26,11 +26,11 @@
 export interface IMembershipAgentOptions {
   readonly membership: Partial<IMembershipOptions>
   readonly selection: IPeerSelectionOptions
-  /** Dialled while there is no link at all: how a process that starts in an outage of the store finds the others. */
+  /** Dialled while this process has no link at all, so that a process that starts during a store outage can join. */
   readonly seeds: readonly ISeedPeer[]
   /** Time between probes of a member without a link. */
   readonly probeMs: number
-  /** How long a probe may take until the member counts as not to be had. */
+  /** Time after which a probe fails and the member counts as unreachable. */
   readonly probeTimeoutMs: number
 }
 
@@ -39,9 +39,9 @@
 }
 
 export class MembershipAgent implements IDisposable {
-  /** Fires when a member is new here or its state or incarnation has changed. */
+  /** Fires when this process learns of a new member, or when a member's state or incarnation has changed. */
   public readonly onMember: Event<IMember>
-  /** Fires when another process under our own id has a higher incarnation: this one should stop. */
+  /** Fires when another process with the same process id has a higher incarnation. This process should then stop. */
   public readonly onSuperseded: Event<IMemberNews>
   private readonly _options: IMembershipAgentOptions
   private readonly _membership: Membership
@@ -49,13 +49,13 @@
   private readonly _prober: MemberProber
   private readonly _registrations = new DisposableStore()
   private readonly _dials = new Map<string, IDial>()
-  /** The present choice of peers; absent after a change of the members. */
+  /** The current selection of peers; undefined after a change of the members. */
   private _selected: readonly IMember[] | undefined
 
   /**
-   * @param _hub the links; to be started by its owner
-   * @param self this process, with the addresses that others reach it at
-   * @param options what differs from `MEMBERSHIP_AGENT_DEFAULTS`
+   * @param _hub the links; its owner must start it
+   * @param self this process, with the addresses at which others reach it
+   * @param options overrides of `MEMBERSHIP_AGENT_DEFAULTS`
    */
   public constructor (
     private readonly _hub: IPeerHub,
@@ -71,7 +71,7 @@
     this.onSuperseded = this._membership.onSuperseded
   }
 
-  /** Starts to listen, gossip, dial and probe. */
+  /** Starts listening, gossip, dialling and probing. */
   public start (): void {
     const gossipMs = this._options.membership.gossipMs ?? MEMBERSHIP_DEFAULTS.gossipMs
     this._registrations.add(this._hub.listen('members', (cast, from) => this._onCast(cast, from)))
@@ -87,13 +87,13 @@
     this._tick()
   }
 
-  /** Keeps a link to a member that `PeerSelection` did not choose, until disposed; nothing for an unknown one. */
+  /** Keeps a link to a member, whether `PeerSelection` selected it or not, until disposed. Returns undefined for an unknown member. */
   public reach (processId: string): IDisposable | undefined {
     const member = this.member(processId)
     return member === undefined ? undefined : this._hub.dial(member.peerUrl, processId)
   }
 
-  /** All members known, this process included, and dead ones until they are forgotten. */
+  /** All known members, including this process, and including dead members until they are forgotten. */
   public members (): readonly IMember[] {
     return this._membership.members()
   }
@@ -102,13 +102,13 @@
     return this._membership.get(processId)
   }
 
-  /** Schedulers that may be given new work: alive, linked and not leaving. Goes through all members. */
+  /** Schedulers that can receive new work: alive, linked and not leaving. Iterates over all members. */
   public routableSchedulers (): readonly IMember[] {
     return this.members().filter((member) =>
       member.role === 'scheduler' && member.state === 'alive' && this._hub.link(member.processId) !== undefined)
   }
 
-  /** Tells the others at once that this process leaves: it gets no new work. */
+  /** Tells all linked peers at once that this process is leaving, so that it receives no new work. */
   public leave (): void {
     this._membership.leave()
     for (const link of this._hub.links()) {
@@ -117,22 +117,22 @@
     }
   }
 
-  /** The store can or can't be reached. */
+  /** Reports whether the store can be reached. */
   public storeReachable (reachable: boolean): void {
     this._membership.storeReachable(reachable)
   }
 
-  /** The record of a process in the store was written. */
+  /** Reports that the record of a process was written to the store. */
   public storePresent (member: IMember): void {
     this._membership.storePresent(member)
   }
 
-  /** The record of a process in the store has gone. */
+  /** Reports that the record of a process is no longer in the store. */
   public storeAbsent (processId: string): void {
     this._membership.storeAbsent(processId)
   }
 
-  /** All records in the store, after a start or a gap. */
+  /** Reports all records in the store, after a start or after a gap in the watch. */
   public storeAll (members: readonly IMember[]): void {
     this._membership.storeAll(members)
   }
@@ -145,7 +145,7 @@
 
   private _tick (): void {
     for (const outgoing of this._membership.tick()) this._send(outgoing)
-    this._dialChosen()
+    this._updateDials()
   }
 
   private _onLink (peer: IProcessIdentity): void {
@@ -162,8 +162,8 @@
     this._hub.link(peerId)?.cast('members', cast)
   }
 
-  private _dialChosen (): void {
-    const wanted = new Map(this._chosen().map((peer) => [peer.processId, peer.peerUrl]))
+  private _updateDials (): void {
+    const wanted = new Map(this._peersToDial().map((peer) => [peer.processId, peer.peerUrl]))
     for (const [processId, dial] of this._dials) {
       if (wanted.get(processId) === dial.peerUrl) continue
       dial.registration.dispose()
@@ -174,7 +174,7 @@
     }
   }
 
-  private _chosen (): readonly ISeedPeer[] {
+  private _peersToDial (): readonly ISeedPeer[] {
     const selected = this._selected ?? this._selection.select(this.members())
     this._selected = selected
     return this._hub.links().length > 0 ? selected : [...this._options.seeds, ...selected]
--- a/src/peer/Opening.ts
+++ b/src/peer/Opening.ts
@@ -1,5 +1,5 @@
 /**
- * Runs the handshake over a fresh WebSocket within bounds of time and bytes, whoever is at the other end.
+ * Runs the handshake over a new WebSocket, with limits on time and bytes, as the other side is not authenticated yet.
  */
 
 import type { Socket } from 'node:net'
@@ -9,26 +9,26 @@
 import type { IPeerHubOptions } from './PeerHubOptions.js'
 import { toBytes } from './PeerSocket.js'
 
-export interface IOpeningListener {
-  /** The peer has proved itself; called at most once, and then neither is `onFailed`. `welcome` is set on the listening side. */
-  onProven (peer: IProcessIdentity, welcome: Uint8Array | undefined): void
+export interface IHandshakeListener {
+  /** Called when the peer is authenticated. Either this or `onFailed` is called, and only once. `welcome` is set on the listening side. */
+  onAuthenticated (peer: IProcessIdentity, welcome: Uint8Array | undefined): void
   onFailed (reason: string): void
 }
 
-export class Opening implements IDisposable {
-  private _ended = false
+export class HandshakeRunner implements IDisposable {
+  private _hasEnded = false
   private readonly _timeout: IDisposable
   private readonly _onMessage = (data: RawData, isBinary: boolean): void => this._receive(data, isBinary)
-  private readonly _onData = (): void => this._checkSize()
+  private readonly _onData = (): void => this._checkReceivedBytes()
   private readonly _onClose = (): void => this._fail('closed during the handshake')
 
   public constructor (
     private readonly _webSocket: WebSocket,
     private readonly _tcp: Socket,
     private readonly _handshake: Handshake,
-    private readonly _options: Pick<IPeerHubOptions, 'handshakeTimeoutMs' | 'maxUnprovenBytes'>,
+    private readonly _options: Pick<IPeerHubOptions, 'handshakeTimeoutMs' | 'maxUnauthenticatedBytes'>,
     timers: ITimers,
-    private readonly _listener: IOpeningListener
+    private readonly _listener: IHandshakeListener
   ) {
     this._timeout = timers.after(_options.handshakeTimeoutMs, () => this._fail('handshake timed out'))
     _webSocket.on('message', this._onMessage)
@@ -36,18 +36,19 @@
     _tcp.on('data', this._onData)
   }
 
-  /** Stops without a verdict and drops the connection. */
+  /** Aborts the handshake without calling the listener, and closes the connection. */
   public dispose (): void {
-    this._end()
+    this._removeListeners()
     this._webSocket.terminate()
   }
 
   /**
-   * Bounds what a stranger can make us buffer. The limit on messages can't do it, because it is set once per
-   * connection and has to admit whole messages later on; without this check each stranger could hold 2 MB.
+   * Limits the bytes that an unauthenticated connection can make this process buffer. The limit on the message size
+   * is not enough: it is set once per connection and must allow full-size messages after the handshake. Without this
+   * check each unauthenticated connection could occupy 2 MB.
    */
-  private _checkSize (): void {
-    if (!this._ended && this._tcp.bytesRead > this._options.maxUnprovenBytes) this._fail('too many bytes before the proof')
+  private _checkReceivedBytes (): void {
+    if (!this._hasEnded && this._tcp.bytesRead > this._options.maxUnauthenticatedBytes) this._fail('too many bytes before authentication')
   }
 
   private _receive (data: RawData, isBinary: boolean): void {
@@ -60,20 +61,20 @@
       case 'failed':
         this._fail(step.reason)
         break
-      case 'proven':
-        this._end()
-        this._listener.onProven(step.peer, step.bytes)
+      case 'authenticated':
+        this._removeListeners()
+        this._listener.onAuthenticated(step.peer, step.bytes)
     }
   }
 
   private _fail (reason: string): void {
-    if (this._ended) return
+    if (this._hasEnded) return
     this.dispose()
     this._listener.onFailed(reason)
   }
 
-  private _end (): void {
-    this._ended = true
+  private _removeListeners (): void {
+    this._hasEnded = true
     this._timeout.dispose()
     this._webSocket.off('message', this._onMessage)
     this._webSocket.off('close', this._onClose)
--- a/src/peer/PacketBatch.ts
+++ b/src/peer/PacketBatch.ts
@@ -1,22 +1,25 @@
 /**
  * Joins the frames that are sent within one turn of the event loop into one packet.
  *
- * Made for thousands of small calls and replies a second. A packet each costs a system call and a WebSocket frame
- * each, and the process spends more time on them than on the requests.
+ * A link carries thousands of small calls and replies a second. If each had a packet of its own, each would cost a
+ * system call and a WebSocket frame, and the process would spend more time on these than on the requests.
  *
- * Calls and replies of 1 KB between two processes, 256 in flight, one run each on Node 20, requests/s and processor
- * time of caller and callee per request: a packet each 125,000/s, 9.8 and 6.0 us; a packet each with the socket
- * corked 159,000/s, 7.4 and 4.3 us; joined before the next tick 200,000/s, 7.2 and 3.8 us; joined per turn, as
- * here, 249,000/s, 6.3 and 2.5 us.
+ * Throughput and processor time per request of the caller and of the callee, for calls and replies of 1 KB between
+ * two processes on Node 20 with 256 calls in flight:
+ *
+ *     one packet per frame                            125,000/s, 9.8 and 6.0 us
+ *     one packet per frame, with the socket corked    159,000/s, 7.4 and 4.3 us
+ *     frames joined until the next tick               200,000/s, 7.2 and 3.8 us
+ *     frames joined per turn, as implemented here     249,000/s, 6.3 and 2.5 us
  */
 
-/** A larger batch goes out at once; larger frames go alone, so that they are not copied. */
+/** A batch that reaches this size is sent at once. A frame of this size is sent alone, so that it is not copied. */
 const MAX_BATCH_BYTES = 64 * 1024
 
 export class PacketBatch {
   private _frames: Uint8Array[] = []
   private _bytes = 0
-  private _scheduled = false
+  private _isFlushScheduled = false
 
   public constructor (private readonly _send: (packet: Uint8Array) => void) {}
 
@@ -31,10 +34,10 @@
       this.flush()
       return
     }
-    if (this._scheduled) return
-    this._scheduled = true
+    if (this._isFlushScheduled) return
+    this._isFlushScheduled = true
     setImmediate(() => {
-      this._scheduled = false
+      this._isFlushScheduled = false
       this.flush()
     })
   }
@@ -46,18 +49,18 @@
     const frames = isLastLarge ? this._frames.slice(0, -1) : this._frames
     this._frames = []
     this._bytes = 0
-    this._send(join(frames))
+    this._send(joinFrames(frames))
     if (isLastLarge) this._send(last)
   }
 
-  /** Forgets what was not sent. */
+  /** Discards the frames that have not been sent. */
   public clear (): void {
     this._frames = []
     this._bytes = 0
   }
 }
 
-function join (frames: readonly Uint8Array[]): Uint8Array {
+function joinFrames (frames: readonly Uint8Array[]): Uint8Array {
   const [first] = frames
   return frames.length === 1 && first !== undefined ? first : Buffer.concat(frames)
 }
--- a/src/peer/PeerHub.limits.test.ts
+++ b/src/peer/PeerHub.limits.test.ts
@@ -1,5 +1,5 @@
 /**
- * What strangers and faulty peers can do to a hub: nothing that others notice.
+ * Tests that unauthenticated connections and faulty peers do not affect the other links of a hub.
  */
 
 import { connect } from 'node:net'
@@ -13,7 +13,7 @@
 import { disposeAll, identity, startHub, TEST_KEY } from '../../test/support/PeerHubs.js'
 import { until } from '../../test/support/Until.js'
 import { UnreachableError } from '../common/Errors.js'
-import { FailureKind, FrameCodec, FrameKind, wire } from './Frames.js'
+import { FailureKind, FrameCodec, FrameKind, frameFields } from './Frames.js'
 import type { Frame } from './Frames.js'
 import { Handshake } from './Handshake.js'
 import { toBytes } from './PeerSocket.js'
@@ -31,17 +31,17 @@
   return new Promise((resolve) => { emitter.once('close', () => resolve()) })
 }
 
-/** A connection that has proved itself as process z and then sends what the test wants. */
-async function provenSocket (url: string): Promise<WebSocket> {
+/** A connection that is authenticated as process z, over which a test sends packets of its own. */
+async function authenticatedSocket (url: string): Promise<WebSocket> {
   const webSocket = new WebSocket(url)
   const handshake = new Handshake('dialler', identity('z'), TEST_KEY)
   webSocket.on('error', () => {})
-  webSocket.once('open', () => webSocket.send(handshake.hello()))
+  webSocket.once('open', () => webSocket.send(handshake.createHello()))
   await new Promise<void>((resolve) => {
     webSocket.on('message', (data) => {
       const step = handshake.receive(toBytes(data))
       if (step.kind === 'send') webSocket.send(step.bytes)
-      if (step.kind === 'proven') resolve()
+      if (step.kind === 'authenticated') resolve()
     })
   })
   return webSocket
@@ -49,9 +49,9 @@
 
 test.after.always(disposeAll)
 
-test('connections that say nothing or half of something are closed, and peers still get in', async (t) => {
-  // A scanner opens connections and leaves them. If they stayed, they would use up the sockets of the process, and
-  // one day no peer could connect.
+test('connections that send nothing or half a request are closed, and peers can still connect', async (t) => {
+  // A port scanner opens connections and abandons them. If they stayed open, they would use up the sockets of the
+  // process until no peer could connect.
   const { hub, url } = await startHub(identity('a'), { handshakeTimeoutMs: 200 })
   const silent = [rawConnection(url), rawConnection(url)]
   silent[1]?.write('GET / HTTP/1.1\r\nHost: x\r\n')
@@ -66,9 +66,9 @@
   peer.dispose()
 })
 
-test('a stranger can send little before it must prove itself', async (t) => {
-  // A stranger starts one endless message. Its frame may be as large as a peer's, so the process would collect
-  // megabytes for each such connection.
+test('a connection can send only a few bytes before it is authenticated', async (t) => {
+  // An unauthenticated connection sends one endless message. The message may be as large as an authenticated peer's, so
+  // the process would buffer megabytes for each such connection.
   const { hub, url } = await startHub(identity('a'), { handshakeTimeoutMs: 60_000 })
   const stranger = new WebSocket(url)
   stranger.on('error', () => {})
@@ -81,8 +81,8 @@
   hub.dispose()
 })
 
-test('more unproven connections than allowed are closed on sight', async (t) => {
-  const { hub, url } = await startHub(identity('a'), { maxUnproven: 2, handshakeTimeoutMs: 60_000 })
+test('unauthenticated connections above the limit are closed at once', async (t) => {
+  const { hub, url } = await startHub(identity('a'), { maxUnauthenticated: 2, handshakeTimeoutMs: 60_000 })
   const sockets = [1, 2, 3, 4].map(() => rawConnection(url))
   await until(() => hub.counters.crowdedOut === 2)
   for (const socket of sockets) socket.destroy()
@@ -90,13 +90,13 @@
   hub.dispose()
 })
 
-test('arbitrary packets on a proven link close it at most, and the hub goes on', async (t) => {
-  // A peer of another build, or one with broken memory, sends rubbish. It may lose its link over it; everybody else
-  // must not even notice.
+test('arbitrary packets on an authenticated link can at most close that link', async (t) => {
+  // A peer of another version, or one with faulty memory, sends invalid packets. It may lose its own link, but other
+  // links must not be affected.
   const { hub, url } = await startHub(identity('a'))
   await fc.assert(fc.asyncProperty(fc.array(fc.uint8Array({ maxLength: 64 }), { minLength: 1, maxLength: 5 }), async (packets) => {
     const malformed = hub.counters.malformedPackets
-    const socket = await provenSocket(url)
+    const socket = await authenticatedSocket(url)
     for (const packet of packets) socket.send(packet)
     socket.close()
     await closed(socket)
@@ -111,7 +111,7 @@
   peer.dispose()
 })
 
-test('messages of the wrong shape reach no handler', async (t) => {
+test('messages of the wrong shape are not passed to a handler', async (t) => {
   const { hub: a, url } = await startHub(identity('a'))
   const { hub: b } = await startHub(identity('b'))
   const handled: unknown[] = []
@@ -131,15 +131,26 @@
   b.dispose()
 })
 
-test('a peer that does not read gets a bounded backlog, and calls to it fail as not sent', async (t) => {
-  // A peer hangs while requests for it keep coming. Without a bound, what is meant for it fills our memory until the
-  // process dies, and all its other links with it.
+test('the backlog of a peer that does not read is bounded, and calls to this peer fail as not sent', async (t) => {
+  // A peer hangs while more requests are sent to it. Without a bound, the unsent data fills the memory until the process
+  // dies and loses all its other links.
   const { hub, url } = await startHub(identity('a'), { maxBufferedBytes: 1_000_000, silenceLimitMs: 60_000 })
-  const socket = await provenSocket(url)
+  const socket = await authenticatedSocket(url)
   await until(() => hub.link('z') !== undefined)
   socket.pause()
   const link = hub.link('z') as IPeerLink
-  const ask = { attemptId: 'x', service: 's', caller: 'c', requestId: 'r', idempotent: true, remainingMs: 1, contentType: 't', body: Buffer.alloc(100_000), ageMs: 0, hops: 0 }
+  const ask = {
+    attemptId: 'x',
+    service: 's',
+    caller: 'c',
+    requestId: 'r',
+    idempotent: true,
+    remainingMs: 1,
+    contentType: 't',
+    body: Buffer.alloc(100_000),
+    ageMs: 0,
+    hops: 0
+  }
   let refused: unknown
   for (let sent = 0; sent < 2_000 && refused === undefined; sent++) {
     const call = link.call('submit', ask, 60_000)
@@ -153,7 +164,7 @@
   socket.terminate()
 })
 
-test('calls beyond the number allowed in flight are refused as not sent', async (t) => {
+test('calls above the limit of calls in flight are refused as not sent', async (t) => {
   const { hub: a, url } = await startHub(identity('a'))
   const { hub: b } = await startHub(identity('b'), { maxCallsInFlight: 2 })
   a.handle('cancel', () => new Promise(() => {}))
@@ -166,17 +177,17 @@
   b.dispose()
 })
 
-test('a call that crosses the news of a graceful close is answered as not run', async (t) => {
-  // A peer sends a call just before it hears that we close. Without an answer it must assume that it may have run,
-  // and for work that must not run twice that is the end of the request.
+test('a call that crosses the notice of a graceful close is answered as not run', async (t) => {
+  // A peer sends a call just before it receives the notice that this hub is closing. Without an answer the peer must
+  // assume that the call may have run, and a request that must not run twice would fail.
   const { hub, url } = await startHub(identity('a'))
   let finish: (() => void) | undefined
   hub.handle('cancel', () => new Promise((resolve) => { finish = () => resolve({ cancelled: true }) }))
-  const socket = await provenSocket(url)
+  const socket = await authenticatedSocket(url)
   const codec = new FrameCodec(10_000)
   const frames: Frame[] = []
   socket.on('message', (data) => frames.push(...codec.decode(toBytes(data))._unsafeUnwrap()))
-  const call = (callId: number): void => socket.send(codec.encode(wire.call(callId, 'cancel', { attemptId: 'x' }))._unsafeUnwrap())
+  const call = (callId: number): void => socket.send(codec.encode(frameFields.call(callId, 'cancel', { attemptId: 'x' }))._unsafeUnwrap())
   call(1)
   await until(() => finish !== undefined)
   const closing = hub.close(60_000)
@@ -184,7 +195,7 @@
   await until(() => frames.some((frame) => frame.kind === FrameKind.Failure))
   t.like(frames.find((frame) => frame.kind === FrameKind.Failure), { callId: 2, failure: FailureKind.NotRun })
   finish?.()
-  socket.send(codec.encode(wire.bare(FrameKind.Retire))._unsafeUnwrap())
+  socket.send(codec.encode(frameFields.control(FrameKind.Retire))._unsafeUnwrap())
   await closing
   t.true(frames.some((frame) => frame.kind === FrameKind.Reply && frame.callId === 1))
 })
--- a/src/peer/PeerHub.test.ts
+++ b/src/peer/PeerHub.test.ts
@@ -1,5 +1,5 @@
 /**
- * Two hubs in one process, over real sockets of 127.0.0.1.
+ * Tests of two hubs in one process, over real sockets on 127.0.0.1.
  */
 
 import test from 'ava'
@@ -55,7 +55,7 @@
 
 test.after.always(disposeAll)
 
-test('calls are answered out of order, each with its own reply, and casts arrive', async (t) => {
+test('calls answered out of order each receive their own reply, and casts are delivered', async (t) => {
   const pair = await linkedPair()
   const waiting = new Map<string, () => void>()
   pair.b.handle('drain', async (ask) => {
@@ -83,7 +83,7 @@
   const pair = await linkedPair({ maxFrameBytes: 10_000 })
   pair.b.handle('drain', async (ask) => {
     if (ask.hostId === 'refuse') throw new RefusedError('drain', 'h1', 'no such host')
-    throw new Error('broken half-way')
+    throw new Error('failed half-way')
   })
   pair.b.handle('cancel', never)
   const failure = async (call: ReturnType<IPeerLink['call']>): Promise<unknown> => (await call)._unsafeUnwrapErr()
@@ -98,9 +98,9 @@
   await endPair(pair)
 })
 
-test('a reply that comes after its call has timed out reaches no other call', async (t) => {
-  // The peer stalls for longer than the caller waits, and its answer comes while the caller's next call is under way.
-  // Were it taken for the answer of that one, a caller would be told the outcome of somebody else's request.
+test('a reply that arrives after its call has timed out does not complete another call', async (t) => {
+  // The peer stalls for longer than the call's timeout, and its reply arrives while the next call is in progress. If the
+  // reply completed that call, a caller would receive the result of another request.
   const pair = await linkedPair()
   const release: Array<() => void> = []
   pair.b.handle('cancel', async () => {
@@ -117,9 +117,10 @@
   await endPair(pair)
 })
 
-test('both sides dial at once and end with one connection, on which calls survive', async (t) => {
-  // Two processes start together and dial each other. A call goes out on the first connection that is ready, just as
-  // the other side gives it up for the second one. Cut off, it would end as "it may have run" although nothing failed.
+test('two hubs that dial each other at the same time end with one connection, and no call fails', async (t) => {
+  // Two processes start at the same time and dial each other. A call is sent on the first connection that is ready, just
+  // as the other side replaces this connection by the second one. If the connection were closed at once, the call would
+  // end as ambiguous although nothing failed.
   for (let round = 0; round < DIAL_ROUNDS; round++) {
     const { hub: a, url: urlA } = await startHub(identity('a'))
     const { hub: b, url: urlB } = await startHub(identity('b'))
@@ -133,7 +134,7 @@
   }
 })
 
-test('an address that is none fails the dial, and a key that is too short the start', async (t) => {
+test('an invalid address fails the dial, and a key that is too short fails the start', async (t) => {
   const { hub } = await startHub(identity('a'))
   for (const url of ['ws://', 'nonsense', 'ws://localhost:1', 'http://127.0.0.1:1']) hub.dial(url, url)
   await until(() => hub.counters.failedHandshakes >= 4)
@@ -144,9 +145,9 @@
   weak.dispose()
 })
 
-test('when one direction of the path is cut both sides notice, and calls in flight end as ambiguous', async (t) => {
-  // A broken switch swallows what b sends while a's bytes still arrive. The connection stays open, so only silence
-  // shows it; a caller would otherwise wait until its own timeout for answers that can't come.
+test('when one direction of the connection is cut, both sides detect it and calls in flight end as ambiguous', async (t) => {
+  // A faulty switch drops what b sends, while the bytes of a still arrive. The connection stays open, so only the silence
+  // of b shows the fault. Otherwise a call would wait until its own timeout for a reply that can't arrive.
   const pair = await linkedPair(FAST_HEARTBEAT)
   let handled = 0
   pair.b.handle('cancel', () => {
@@ -166,9 +167,9 @@
   await endPair(pair)
 })
 
-test('a restarted process takes the place of its older self, and the older one is not let in again', async (t) => {
-  // A process is replaced while its connection still looks open here. Messages for the process must go to the new
-  // one; were the old connection kept, they would vanish until its silence is noticed.
+test('a restarted process replaces its earlier incarnation, which is refused from then on', async (t) => {
+  // A process restarts while its old connection still seems to be open. Messages must be sent to the new incarnation. If
+  // the old connection were kept, messages would be lost until its silence is detected.
   const { hub: a, url } = await startHub(identity('a'))
   const { hub: old } = await startHub(identity('b', 1))
   const lost: number[] = []
@@ -184,9 +185,9 @@
   for (const hub of [a, old, restarted]) hub.dispose()
 })
 
-test('a process with another key gets no link', async (t) => {
-  // A process of another cell, with another key, dials by mistake. Were it let in, its messages would be taken for
-  // those of this cell.
+test('a process with a different key gets no link', async (t) => {
+  // A process of another cell, which has a different key, dials by mistake. If it got a link, its messages would be
+  // processed as those of a process of this cell.
   const { hub: a, url } = await startHub(identity('a'))
   const { hub: stranger } = await startHub(identity('s'), { sharedKey: `${TEST_KEY}, but another` })
   stranger.dial(url, 'a')
@@ -198,8 +199,8 @@
 })
 
 test('a graceful close answers the calls in progress and refuses new ones as not run', async (t) => {
-  // An operator stops a process that is in the middle of a call. The caller must get its answer, and a call that
-  // comes too late must be known not to have run, so that it can go elsewhere.
+  // An operator stops a process that is running a call. The caller must get the reply, and a call that arrives too late
+  // must be reported as not run, so that it can be sent to another process.
   const pair = await linkedPair()
   let finish: (() => void) | undefined
   pair.b.handle('cancel', async () => {
--- a/src/peer/PeerHub.truth.test.ts
+++ b/src/peer/PeerHub.truth.test.ts
@@ -1,5 +1,5 @@
 /**
- * What the end of a call claims, against what the handler has seen, while connections break at random.
+ * Tests the result of each call against the calls that the handler has run, while connections break at random.
  */
 
 import test from 'ava'
@@ -15,12 +15,12 @@
 const CALLS_PER_ROUND = 10
 const SEED = 11
 
-interface IClaim {
+interface ICallResult {
   readonly id: string
   readonly kind: 'done' | 'notRun' | 'unknown'
 }
 
-async function callOther (hub: PeerHub, other: string, id: string): Promise<IClaim> {
+async function callOther (hub: PeerHub, other: string, id: string): Promise<ICallResult> {
   const result = await hub.link(other)?.call('cancel', { attemptId: id }, 60_000)
   if (result === undefined) return { id, kind: 'notRun' }
   return result.match(
@@ -36,9 +36,9 @@
 
 test.after.always(disposeAll)
 
-test('while connections break, no call said to be not run has run, and each runs at most once', async (t) => {
-  // Both processes call each other while the paths between them are dropped and cut, and both dial again. Were one
-  // call that ran reported as not run, its request would be sent again and run twice.
+test('while connections break, no call reported as not run has run, and each call runs at most once', async (t) => {
+  // Two processes call each other while the connections between them are dropped and cut, and both dial again. If a call
+  // that ran were reported as not run, its request would be sent again and run twice.
   const random = new SeededRandom(SEED)
   const runs = new Map<string, number>()
   const fast = { heartbeatMs: 20, silenceLimitMs: 150, minBackoffMs: 1, maxBackoffMs: 10 }
@@ -55,24 +55,24 @@
   const ports = await Promise.all(forwarders.map((forwarder) => forwarder.listen()))
   a.dial(`ws://127.0.0.1:${ports[1]}`, 'b')
   b.dial(`ws://127.0.0.1:${ports[0]}`, 'a')
-  const claims: IClaim[] = []
+  const results: ICallResult[] = []
   for (let round = 0; round < ROUNDS; round++) {
     await until(() => a.link('b') !== undefined && b.link('a') !== undefined)
-    const calls: Array<Promise<IClaim>> = []
+    const calls: Array<Promise<ICallResult>> = []
     for (let index = 0; index < CALLS_PER_ROUND; index++) {
       calls.push(callOther(a, 'b', `a${round}.${index}`), callOther(b, 'a', `b${round}.${index}`))
       await pause(random)
       if (random.next() < 0.1) forwarders[index % 2]?.dropAll()
       if (random.next() < 0.05) forwarders[index % 2]?.cut('toTarget')
     }
-    claims.push(...await Promise.all(calls))
+    results.push(...await Promise.all(calls))
     for (const forwarder of forwarders) forwarder.heal()
   }
-  t.deepEqual(claims.filter(({ id, kind }) => kind === 'notRun' && runs.has(id)), [])
-  t.deepEqual(claims.filter(({ id, kind }) => kind === 'done' && !runs.has(id)), [])
+  t.deepEqual(results.filter(({ id, kind }) => kind === 'notRun' && runs.has(id)), [])
+  t.deepEqual(results.filter(({ id, kind }) => kind === 'done' && !runs.has(id)), [])
   t.deepEqual([...runs].filter(([, count]) => count > 1), [])
-  const kinds = new Set(claims.map((claim) => claim.kind))
-  t.deepEqual([...kinds].sort(), ['done', 'notRun', 'unknown'], 'the failures came about')
+  const kinds = new Set(results.map((result) => result.kind))
+  t.deepEqual([...kinds].sort(), ['done', 'notRun', 'unknown'], 'all three results occurred')
   a.dispose()
   b.dispose()
   await Promise.all(forwarders.map((forwarder) => forwarder.close()))
--- a/src/peer/PeerHub.ts
+++ b/src/peer/PeerHub.ts
@@ -1,5 +1,6 @@
 /**
- * All links of one process: listens, dials, keeps one link per peer, and hands messages to their handlers.
+ * All links of one process: accepts connections, dials peers, keeps one link per peer, and passes messages to their
+ * handlers.
  */
 
 import { errAsync } from 'neverthrow'
@@ -15,7 +16,7 @@
 import { Handshake } from './Handshake.js'
 import { HandlerTable } from './HandlerTable.js'
 import { LinkSet } from './LinkSet.js'
-import { Opening } from './Opening.js'
+import { HandshakeRunner } from './Opening.js'
 import { PeerCounters } from './PeerCounters.js'
 import type { IDialContext } from './PeerDialler.js'
 import { PEER_HUB_DEFAULTS } from './PeerHubOptions.js'
@@ -23,8 +24,8 @@
 import { PeerListener } from './PeerListener.js'
 import type { IPeerHub, IPeerLink, IPeerTraffic, LinkLossCause } from './Types.js'
 
-/** How long a refused peer has to read why, in milliseconds. */
-const REFUSAL_MS = 1_000
+/** Time that a refused peer has to read the reason before its connection is terminated, in milliseconds. */
+const REFUSAL_READ_MS = 1_000
 const MIN_KEY_BYTES = 16
 
 export class PeerHub implements IPeerHub, IDisposable {
@@ -32,17 +33,17 @@
   private readonly _counters = new PeerCounters()
   private readonly _handlers = new HandlerTable()
   private readonly _links: LinkSet
-  private readonly _openings = new Set<Opening>()
+  private readonly _handshakes = new Set<HandshakeRunner>()
   private readonly _dials: DialTable
   private readonly _listener: PeerListener
   private readonly _heartbeat: IDisposable
   private _url: string | undefined
-  private _closing = false
+  private _isClosing = false
 
   /**
    * @param self this process
-   * @param settings the shared key and what differs from `PEER_HUB_DEFAULTS`
-   * @param environment time, chance, log
+   * @param settings the shared key and overrides of `PEER_HUB_DEFAULTS`
+   * @param environment clock, timers, random numbers and log
    */
   public constructor (
     public readonly self: IProcessIdentity,
@@ -57,16 +58,16 @@
       environment: _environment,
       counters: this._counters,
       handlers: this._handlers,
-      isWanted: (processId) => this._dials.has(processId)
+      isDialled: (processId) => this._dials.has(processId)
     })
     this._dials = new DialTable(this._createDialContext())
     this._listener = new PeerListener(this._options, _environment, this._counters, (webSocket, tcp) => this._onAccepted(webSocket, tcp))
     this._heartbeat = this._timers.every(this._options.heartbeatMs, () => this._links.tick())
-    this._links.onLink((link) => this._dials.noteLinked(link.peer.processId))
-    this._links.onLost(({ peer }) => this._dials.noteLost(peer.processId))
+    this._links.onLink((link) => this._dials.onLinked(link.peer.processId))
+    this._links.onLost(({ peer }) => this._dials.onLinkLost(peer.processId))
   }
 
-  /** Binds the listen address and accepts peers; gives `ws://ip:port`. */
+  /** Binds the listen address and accepts peers. Returns the address as `ws://ip:port`. */
   public start (): ResultAsync<string, UnreachableError | InvalidInputError> {
     if (Buffer.byteLength(this._options.sharedKey) < MIN_KEY_BYTES) {
       return errAsync(new InvalidInputError('peer.start', this.self.processId, 'sharedKey', `shorter than ${MIN_KEY_BYTES} bytes`))
@@ -82,7 +83,7 @@
     return this._url
   }
 
-  /** What was dropped and refused so far; for the state dump. */
+  /** Counts of what was dropped or refused so far, for the state dump. */
   public get counters (): Readonly<PeerCounters> {
     return this._counters
   }
@@ -97,8 +98,8 @@
   }
 
   /**
-   * Keeps a link to this address until disposed. Several users may dial the same process. After the last one has
-   * disposed, the link is let go as soon as it is idle; a link that the peer dialled stays.
+   * Keeps a link to this address until disposed. Several users may dial the same process. After the last of them has
+   * disposed, the link is closed as soon as it is idle. A link that the peer dialled stays open.
    */
   public dial (peerUrl: string, processId: string): IDisposable {
     return this._dials.dial(peerUrl, processId)
@@ -125,15 +126,15 @@
   }
 
   public async close (graceMs: number): Promise<void> {
-    if (this._closing) return
-    this._stopOpening()
+    if (this._isClosing) return
+    this._stopConnecting()
     await this._links.drain(graceMs)
     this.dispose()
   }
 
-  /** Drops everything at once. */
+  /** Closes all connections at once. */
   public dispose (): void {
-    this._stopOpening()
+    this._stopConnecting()
     this._heartbeat.dispose()
     this._links.dispose()
   }
@@ -155,24 +156,24 @@
 
   private _onAccepted (webSocket: WebSocket, tcp: Socket): void {
     const handshake = new Handshake('listener', this.self, this._options.sharedKey)
-    const opening = new Opening(webSocket, tcp, handshake, this._options, this._timers, {
-      onProven: (peer, welcome) => {
-        this._openings.delete(opening)
-        this._listener.release(tcp)
-        if (welcome !== undefined) this._welcome(peer, welcome, webSocket, tcp)
+    const runner = new HandshakeRunner(webSocket, tcp, handshake, this._options, this._timers, {
+      onAuthenticated: (peer, welcome) => {
+        this._handshakes.delete(runner)
+        this._listener.markAuthenticated(tcp)
+        if (welcome !== undefined) this._acceptPeer(peer, welcome, webSocket, tcp)
       },
       onFailed: (reason) => {
-        this._openings.delete(opening)
+        this._handshakes.delete(runner)
         this._onHandshakeFailed(tcp.remoteAddress ?? 'unknown', reason)
       }
     })
-    this._openings.add(opening)
+    this._handshakes.add(runner)
   }
 
-  private _welcome (peer: IProcessIdentity, welcome: Uint8Array, webSocket: WebSocket, tcp: Socket): void {
+  private _acceptPeer (peer: IProcessIdentity, welcome: Uint8Array, webSocket: WebSocket, tcp: Socket): void {
     const admission = this._links.admit(peer, false)
-    if (admission.kind !== 'admitted' || this._closing) {
-      this._refuse(webSocket, admission.kind === 'refused' ? admission.reason : 'not needed now')
+    if (admission.kind !== 'admitted' || this._isClosing) {
+      this._refuse(webSocket, admission.kind === 'refused' ? admission.reason : 'this connection is not needed')
       return
     }
     webSocket.send(welcome)
@@ -180,14 +181,14 @@
   }
 
   private _refuse (webSocket: WebSocket, reason: string): void {
-    webSocket.send(Handshake.refusal(reason))
+    webSocket.send(Handshake.createRefusal(reason))
     webSocket.close()
-    this._timers.after(REFUSAL_MS, () => webSocket.terminate())
+    this._timers.after(REFUSAL_READ_MS, () => webSocket.terminate())
   }
 
   private _onDialled (peer: IProcessIdentity, webSocket: WebSocket, tcp: Socket): void {
     const admission = this._links.admit(peer, true)
-    if (admission.kind === 'refused' || this._closing) webSocket.terminate()
+    if (admission.kind === 'refused' || this._isClosing) webSocket.terminate()
     else if (admission.kind === 'surplus') this._links.retire(this._links.create(peer, true, webSocket, tcp), admission.kept)
     else this._links.install(admission, this._links.create(peer, true, webSocket, tcp))
   }
@@ -197,11 +198,11 @@
     this._environment.log?.warn('peer.handshakeFailed', { step: 'peer.handshake', peer, reason })
   }
 
-  private _stopOpening (): void {
-    this._closing = true
+  private _stopConnecting (): void {
+    this._isClosing = true
     this._listener.close()
     this._dials.dispose()
-    for (const opening of this._openings) opening.dispose()
-    this._openings.clear()
+    for (const runner of this._handshakes) runner.dispose()
+    this._handshakes.clear()
   }
 }
--- a/src/peer/PeerLink.test.ts
+++ b/src/peer/PeerLink.test.ts
@@ -1,5 +1,5 @@
 /**
- * One link over a socket that only counts.
+ * Tests of one link over a fake socket that only collects packets.
  */
 
 import { setImmediate } from 'node:timers/promises'
@@ -15,8 +15,8 @@
 import { PEER_HUB_DEFAULTS } from './PeerHubOptions.js'
 import { PeerLink } from './PeerLink.js'
 
-test('a link on which nothing else is sent carries one heartbeat per period, and none beside other messages', async (t) => {
-  // Too few heartbeats and a healthy peer is taken for silent; too many and hundreds of links cost more than the work.
+test('a link sends one heartbeat per period if it sends nothing else, and none in a period with other messages', async (t) => {
+  // With too few heartbeats a healthy peer counts as silent. With too many, hundreds of links cost more than the work.
   const clock = new ManualClock()
   const packets: Uint8Array[] = []
   const socket = {
@@ -34,8 +34,8 @@
     environment: { clock, timers: clock, random: new SeededRandom(1) },
     counters: new PeerCounters(),
     handlers: new HandlerTable(),
-    awake: new AwakeClock(clock, PEER_HUB_DEFAULTS.heartbeatMs),
-    onGone: () => {}
+    awakeClock: new AwakeClock(clock, PEER_HUB_DEFAULTS.heartbeatMs),
+    onLinkClosed: () => {}
   })
   for (let period = 1; period <= 4; period++) {
     link.tick()
--- a/src/peer/PeerLink.ts
+++ b/src/peer/PeerLink.ts
@@ -1,5 +1,5 @@
 /**
- * One proven connection to one peer: carries calls, replies and casts, and knows when the peer is gone.
+ * One authenticated connection to one peer: carries calls, replies and casts, and detects the loss of the peer.
  */
 
 import { errAsync, ResultAsync } from 'neverthrow'
@@ -11,8 +11,8 @@
 import { CallTable, callStep } from './CallTable.js'
 import type { CallResult } from './CallTable.js'
 import { FrameSender } from './FrameSender.js'
-import { FrameCodec, FrameKind, wire } from './Frames.js'
-import type { Frame, IBareFrame } from './Frames.js'
+import { FrameCodec, FrameKind, frameFields } from './Frames.js'
+import type { Frame, IControlFrame } from './Frames.js'
 import { HeartbeatMonitor } from './HeartbeatMonitor.js'
 import { InboundCalls } from './InboundCalls.js'
 import type { IInboundContext } from './InboundCalls.js'
@@ -24,12 +24,12 @@
 export interface ILinkContext extends IInboundContext {
   readonly options: IPeerHubOptions
   readonly environment: IPeerEnvironment
-  readonly awake: AwakeClock
-  /** Called once, when the link has gone. */
-  onGone (link: PeerLink, reason: string): void
+  readonly awakeClock: AwakeClock
+  /** Called once, when the link has closed. */
+  onLinkClosed (link: PeerLink, reason: string): void
 }
 
-/** Why a link was given up of whose peer nothing was heard. */
+/** The reason of a link loss after which nothing was received from the peer for `silenceLimitMs`. */
 export const SILENT_REASON = 'silent'
 
 export class PeerLink implements IPeerLink, IPeerSocketListener {
@@ -40,12 +40,12 @@
   private readonly _monitor: HeartbeatMonitor
   private readonly _sender: FrameSender
   private readonly _drainWaiters: Array<() => void> = []
-  private readonly _goneWaiters: Array<() => void> = []
+  private readonly _closeWaiters: Array<() => void> = []
   private _successor: PeerLink | undefined
-  private _gone = false
-  private _finishing = false
-  private _peerTakesCalls = true
-  private _peerRetired = false
+  private _isClosed = false
+  private _isClosing = false
+  private _isPeerAccepting = true
+  private _isPeerRetired = false
 
   public constructor (
     public readonly peer: IProcessIdentity,
@@ -57,11 +57,11 @@
     this.lastHeardMs = environment.clock.nowMs()
     this._codec = new FrameCodec(options.maxFrameBytes)
     this._calls = new CallTable(peer.processId, environment.timers, _context.counters)
-    this._inbound = new InboundCalls(peer, _context, (frame) => this._sender.enqueue(frame), () => this._noteProgress())
-    this._monitor = new HeartbeatMonitor(_context.awake, options.silenceLimitMs)
+    this._inbound = new InboundCalls(peer, _context, (frame) => this._sender.enqueue(frame), () => this._checkDrained())
+    this._monitor = new HeartbeatMonitor(_context.awakeClock, options.silenceLimitMs)
     this._sender = new FrameSender(this._codec, _socket, options, {
-      onSending: () => this._calls.noteSent(),
-      onOverfull: () => this.lose('the peer reads too slowly')
+      onSending: () => this._calls.markAllSent(),
+      onBacklogExceeded: () => this.terminate('the peer reads too slowly')
     })
     _socket.listen(this)
   }
@@ -74,29 +74,29 @@
     return this._socket.receivedBytes
   }
 
-  /** Calls in flight, ours and the peer's. */
-  public get busy (): number {
-    return this._calls.size + this._inbound.handling
+  /** Number of calls in flight in both directions. */
+  public get callsInFlight (): number {
+    return this._calls.size + this._inbound.handlerCount
   }
 
   public call<N extends PeerCallName> (name: N, ask: IPeerCalls[N]['ask'], timeoutMs: number):
   ResultAsync<IPeerCalls[N]['reply'], PeerError> {
     if (this._successor !== undefined) return this._successor.call(name, ask, timeoutMs)
     const step = callStep(name)
-    const refusal = this._whyNotCall() ?? this._sender.enqueue(wire.call(this._calls.nextId, name, ask))
+    const refusal = this._findCallRefusal() ?? this._sender.enqueue(frameFields.call(this._calls.nextId, name, ask))
     if (refusal !== undefined) {
       this._context.counters.refusedCalls += 1
       return errAsync(new UnreachableError(step, this.peer.processId, refusal))
     }
-    if (this._gone) return errAsync(new AmbiguousError(step, this.peer.processId, 'link lost while it was sent'))
-    // The peer's handler gave the reply under the same name, and both run the same protocol version.
+    if (this._isClosed) return errAsync(new AmbiguousError(step, this.peer.processId, 'link lost while the call was being sent'))
+    // The type holds: the reply comes from the peer's handler of the same name, and both sides run the same protocol version.
     return new ResultAsync(new Promise<CallResult>((resolve) => {
       this._calls.add(name, timeoutMs, (result) => {
         resolve(result)
-        this._noteProgress()
+        this._checkDrained()
       })
-      // A frame that fills its batch has gone out already, before the call was entered.
-      if (!this._sender.isPending) this._calls.noteSent()
+      // A frame that filled the batch was sent at once, before the call was added to the table.
+      if (!this._sender.hasQueuedFrames) this._calls.markAllSent()
     })) as ResultAsync<IPeerCalls[N]['reply'], PeerError>
   }
 
@@ -105,106 +105,106 @@
       this._successor.cast(name, cast)
       return
     }
-    if (this._gone || this._sender.isBackedUp || this._sender.enqueue(wire.cast(name, cast)) !== undefined) {
+    if (this._isClosed || this._sender.isBackedUp || this._sender.enqueue(frameFields.cast(name, cast)) !== undefined) {
       this._context.counters.droppedCasts += 1
     }
   }
 
   public close (): void {
-    this._finishing = true
-    this.lose('closed here')
+    this._isClosing = true
+    this.terminate('closed by this process')
   }
 
-  /** Sends a heartbeat when one is due and gives the link up when the peer has been silent. To be called every period. */
+  /** Sends a heartbeat if nothing else was sent, and closes the link if the peer is silent. Must be called once per heartbeat period. */
   public tick (): void {
-    if (this._gone) return
-    if (this._monitor.noteReceived(this._socket.receivedBytes)) this.lastHeardMs = this._context.environment.clock.nowMs()
+    if (this._isClosed) return
+    if (this._monitor.updateReceived(this._socket.receivedBytes)) this.lastHeardMs = this._context.environment.clock.nowMs()
     if (this._monitor.isSilent()) {
       this._context.counters.silentLinks += 1
-      this.lose(SILENT_REASON)
+      this.terminate(SILENT_REASON)
       return
     }
-    if (this._sender.takeHasSent()) return
-    this._sendBare(FrameKind.Heartbeat)
-    this._sender.takeHasSent()
+    if (this._sender.clearHasSent()) return
+    this._sendControl(FrameKind.Heartbeat)
+    this._sender.clearHasSent()
   }
 
-  /** Starts no more calls here but on `successor`; closes when what is in flight has ended on both sides. */
+  /** Redirects new calls and casts to `successor`. The link closes when the calls in flight have ended on both sides. */
   public retire (successor: PeerLink): void {
     this._successor = successor
-    this._sendBare(FrameKind.Retire)
-    this._noteProgress()
+    this._sendControl(FrameKind.Retire)
+    this._checkDrained()
   }
 
   /**
-   * Takes no more calls from the peer; those in progress go on. The peer answers that it starts no more here, so that
-   * one which it had sent before it heard of this is still told that it was not run.
+   * Accepts no more calls from the peer; calls in progress go on. The peer answers with `Retire`. The link stays open
+   * until then, so that a call which crosses the `Closing` frame is still answered as not run.
    */
-  public stopTakingCalls (): void {
-    if (!this._inbound.isOpen) return
-    this._inbound.isOpen = false
-    this._sendBare(FrameKind.Closing)
+  public stopAcceptingCalls (): void {
+    if (!this._inbound.isAccepting) return
+    this._inbound.isAccepting = false
+    this._sendControl(FrameKind.Closing)
   }
 
-  /** Whether `stopTakingCalls` was called. */
+  /** Whether `stopAcceptingCalls` was called. */
   public get isDraining (): boolean {
-    return !this._inbound.isOpen
+    return !this._inbound.isAccepting
   }
 
-  /** Whether the link was given up in good order, by us or by the peer. */
+  /** Whether one of the two sides closes the link on purpose. */
   public get isReleased (): boolean {
-    return this._finishing || !this._peerTakesCalls
+    return this._isClosing || !this._isPeerAccepting
   }
 
-  /** Whether no call is in flight in either direction and the peer starts no more, or the link is gone. */
+  /** Whether no call is in flight in either direction and the peer starts no more calls, or the link is closed. */
   public get isDrained (): boolean {
-    return this._gone || (this.busy === 0 && this._peerRetired)
+    return this._isClosed || (this.callsInFlight === 0 && this._isPeerRetired)
   }
 
   public async whenDrained (): Promise<void> {
     while (!this.isDrained) await new Promise<void>((resolve) => { this._drainWaiters.push(resolve) })
   }
 
-  /** Resolves when the connection has gone. */
-  public async whenGone (): Promise<void> {
-    if (this._gone) return
-    await new Promise<void>((resolve) => { this._goneWaiters.push(resolve) })
+  /** Resolves when the link is closed. */
+  public async whenClosed (): Promise<void> {
+    if (this._isClosed) return
+    await new Promise<void>((resolve) => { this._closeWaiters.push(resolve) })
   }
 
-  /** Sends what waits, then closes as soon as the peer has read it. */
-  public finish (): void {
-    this._sender.finish()
-    this._finishing = true
+  /** Sends the queued frames, then closes the connection in an orderly way. */
+  public closeGracefully (): void {
+    this._sender.flushAndStop()
+    this._isClosing = true
     this._socket.close()
   }
 
-  /** Gives the link up at once. */
-  public lose (reason: string): void {
-    if (this._gone) return
-    this._gone = true
+  /** Closes the link at once. Calls in flight end with an error that states `reason`. */
+  public terminate (reason: string): void {
+    if (this._isClosed) return
+    this._isClosed = true
     this._sender.stop()
     this._socket.dispose()
-    this._calls.loseAll(`link lost (${reason})`)
-    this._noteProgress()
-    this._context.onGone(this, reason)
-    for (const resolve of this._goneWaiters.splice(0)) resolve()
+    this._calls.failAll(`link lost (${reason})`)
+    this._checkDrained()
+    this._context.onLinkClosed(this, reason)
+    for (const resolve of this._closeWaiters.splice(0)) resolve()
   }
 
   public onClosed (): void {
-    this.lose('closed by the peer')
+    this.terminate('closed by the peer')
   }
 
   public onPacket (packet: Uint8Array): void {
-    if (this._gone) return
+    if (this._isClosed) return
     this.lastHeardMs = this._context.environment.clock.nowMs()
     const frames = this._codec.decode(packet)
     if (frames.isErr()) {
       this._context.counters.malformedPackets += 1
-      this.lose(`malformed packet: ${frames.error}`)
+      this.terminate(`malformed packet: ${frames.error}`)
       return
     }
     for (const frame of frames.value) {
-      if (this._gone) return
+      if (this._isClosed) return
       this._onFrame(frame)
     }
   }
@@ -212,38 +212,38 @@
   private _onFrame (frame: Frame): void {
     switch (frame.kind) {
       case FrameKind.Call: this._inbound.onCall(frame); break
-      case FrameKind.Reply: this._countLate(this._calls.reply(frame.callId, frame.reply)); break
-      case FrameKind.Failure: this._countLate(this._calls.fail(frame)); break
+      case FrameKind.Reply: this._countIfLate(this._calls.completeCall(frame.callId, frame.reply)); break
+      case FrameKind.Failure: this._countIfLate(this._calls.failCall(frame)); break
       case FrameKind.Cast: this._inbound.onCast(frame); break
       case FrameKind.Heartbeat: break
       case FrameKind.Closing:
-        this._peerTakesCalls = false
-        this._sendBare(FrameKind.Retire)
+        this._isPeerAccepting = false
+        this._sendControl(FrameKind.Retire)
         break
       case FrameKind.Retire:
-        this._peerRetired = true
-        this._noteProgress()
+        this._isPeerRetired = true
+        this._checkDrained()
     }
   }
 
-  private _countLate (known: boolean): void {
+  private _countIfLate (known: boolean): void {
     if (!known) this._context.counters.lateReplies += 1
   }
 
-  private _whyNotCall (): string | undefined {
-    if (this._gone || this._finishing) return 'the link is down'
-    if (!this._peerTakesCalls) return 'the peer is closing'
+  private _findCallRefusal (): string | undefined {
+    if (this._isClosed || this._isClosing) return 'the link is down'
+    if (!this._isPeerAccepting) return 'the peer is closing'
     if (this._calls.size >= this._context.options.maxCallsInFlight) return 'too many calls in flight'
     return this._sender.isBackedUp ? 'the link is backed up' : undefined
   }
 
-  private _sendBare (kind: IBareFrame['kind']): void {
-    this._sender.enqueue(wire.bare(kind))
+  private _sendControl (kind: IControlFrame['kind']): void {
+    this._sender.enqueue(frameFields.control(kind))
   }
 
-  private _noteProgress (): void {
+  private _checkDrained (): void {
     if (!this.isDrained) return
     for (const resolve of this._drainWaiters.splice(0)) resolve()
-    if (!this._gone && this._successor !== undefined) this.finish()
+    if (!this._isClosed && this._successor !== undefined) this.closeGracefully()
   }
 }
--- a/src/peer/PeerListener.ts
+++ b/src/peer/PeerListener.ts
@@ -1,5 +1,5 @@
 /**
- * Accepts connections from peers, and keeps strangers from using up memory or sockets.
+ * Accepts connections from peers, and limits the memory and sockets that unauthenticated connections can occupy.
  */
 
 import { createServer } from 'node:http'
@@ -15,7 +15,7 @@
 import type { PeerCounters } from './PeerCounters.js'
 import type { IPeerEnvironment, IPeerHubOptions } from './PeerHubOptions.js'
 
-/** Room for a batch of frames beside the largest single one. */
+/** Size of a batch of frames that a packet may contain in addition to one frame of `maxFrameBytes`. */
 const PACKET_SLACK_BYTES = 128 * 1024
 const MAX_HEADER_BYTES = 4_096
 
@@ -26,7 +26,7 @@
 export class PeerListener {
   private readonly _server: Server
   private readonly _webSockets: WebSocketServer
-  private readonly _unproven = new Set<Socket>()
+  private readonly _unauthenticated = new Set<Socket>()
 
   public constructor (
     private readonly _options: IPeerHubOptions,
@@ -46,7 +46,7 @@
     })
   }
 
-  /** Binds the address; gives `ws://ip:port`. */
+  /** Binds the address and returns it as `ws://ip:port`. */
   public listen (): ResultAsync<string, UnreachableError> {
     const { listenIp, listenPort } = this._options
     const bound = new Promise<string>((resolve, reject) => {
@@ -60,34 +60,34 @@
       new UnreachableError('peer.listen', `${listenIp}:${listenPort}`, String(cause), { cause }))
   }
 
-  /** Notes that a connection has proved itself and may stay. */
-  public release (socket: Socket): void {
-    this._unproven.delete(socket)
+  /** Marks a connection as authenticated, which lifts its time limit. */
+  public markAuthenticated (socket: Socket): void {
+    this._unauthenticated.delete(socket)
   }
 
   public close (): void {
     this._webSockets.close()
     this._server.close()
-    for (const socket of this._unproven) socket.destroy()
+    for (const socket of this._unauthenticated) socket.destroy()
   }
 
   /**
-   * A connection that sends nothing, or half a request, never reaches the handshake and so has no timeout there. One
-   * would see open sockets pile up until peers can't connect. Every connection has to prove itself in time instead.
+   * Limits the time until every new connection must be authenticated. A connection that sends nothing, or half a
+   * request, never reaches the handshake and its timeout. Such connections would accumulate until peers can't connect.
    */
   private _onConnection (socket: Socket): void {
-    if (this._unproven.size >= this._options.maxUnproven) {
+    if (this._unauthenticated.size >= this._options.maxUnauthenticated) {
       this._counters.crowdedOut += 1
       socket.destroy()
       return
     }
-    this._unproven.add(socket)
+    this._unauthenticated.add(socket)
     const timeout = this._environment.timers.after(this._options.handshakeTimeoutMs, () => {
-      if (this._unproven.has(socket)) socket.destroy()
+      if (this._unauthenticated.has(socket)) socket.destroy()
     })
     socket.on('close', () => {
       timeout.dispose()
-      this._unproven.delete(socket)
+      this._unauthenticated.delete(socket)
     })
   }
 }
--- a/src/peer/PeerSocket.ts
+++ b/src/peer/PeerSocket.ts
@@ -1,5 +1,5 @@
 /**
- * A proven WebSocket as the link sees it: packets in and out, and exact byte counts of the connection.
+ * An authenticated WebSocket as a link uses it: sends and receives packets, and counts the bytes of the connection.
  */
 
 import type { Socket } from 'node:net'
@@ -15,14 +15,14 @@
   /** Bytes of the whole connection, framing and handshake included. */
   readonly sentBytes: number
   readonly receivedBytes: number
-  /** Bytes handed over and not yet taken by the system. */
+  /** Bytes that were passed to `send` and not yet written to the operating system. */
   readonly bufferedBytes: number
-  /** Starts delivery; to be called once. */
+  /** Starts the delivery of packets. Must be called once. */
   listen (listener: IPeerSocketListener): void
   send (packet: Uint8Array): void
-  /** Closes once all that was sent has gone out and the peer has closed too. */
+  /** Sends everything that is buffered, then closes the connection once the peer has closed its side too. */
   close (): void
-  /** Drops the connection at once, with what is unsent. */
+  /** Closes the connection at once and discards what is unsent. */
   dispose (): void
 }
 
@@ -59,10 +59,10 @@
   }
 }
 
-/** The default binary type of ws gives one buffer per message; the other forms of `RawData` are for other types. */
+/** With the default `binaryType` of ws every message is one `Buffer`; the other forms of `RawData` don't occur. */
 export function toBytes (data: RawData): Uint8Array {
   return data as Buffer
 }
 
-/** A failed send is followed by the close of the socket, which settles what was in flight. */
+/** After a failed send the socket emits `close`, and the link then ends all calls in flight. */
 function ignoreSendError (): void {}
--- a/src/peer/TrafficMeter.ts
+++ b/src/peer/TrafficMeter.ts
@@ -1,6 +1,6 @@
 /**
- * Bytes to and from peers, over all connections that ever were: part of the control cost, which is paid for by
- * volume between regions.
+ * Counts the bytes sent to and received from peers, over all connections so far. They are part of the control cost:
+ * traffic between regions is paid by volume.
  */
 
 import type { IProcessIdentity } from '../common/Types.js'
@@ -12,26 +12,26 @@
   readonly receivedBytes: number
 }
 
-const NOTHING: IPeerTraffic = { sentBytes: 0, receivedBytes: 0, crossRegionSentBytes: 0 }
+const NO_TRAFFIC: IPeerTraffic = { sentBytes: 0, receivedBytes: 0, crossRegionSentBytes: 0 }
 
 export class TrafficMeter {
-  private _ended = NOTHING
+  private _closed = NO_TRAFFIC
 
   public constructor (private readonly _region: string) {}
 
-  /** Keeps the bytes of a connection that has gone. */
-  public addEnded (link: IMeteredLink): void {
-    this._ended = this._add(this._ended, link)
+  /** Adds the bytes of a connection that has closed. */
+  public addClosed (link: IMeteredLink): void {
+    this._closed = this._addLink(this._closed, link)
   }
 
-  /** The bytes of ended connections and of those given. */
+  /** The bytes of all closed connections and of the `open` ones. */
   public total (open: Iterable<IMeteredLink>): IPeerTraffic {
-    let total = this._ended
-    for (const link of open) total = this._add(total, link)
+    let total = this._closed
+    for (const link of open) total = this._addLink(total, link)
     return total
   }
 
-  private _add (sum: IPeerTraffic, link: IMeteredLink): IPeerTraffic {
+  private _addLink (sum: IPeerTraffic, link: IMeteredLink): IPeerTraffic {
     const crossRegionBytes = link.peer.region === this._region ? 0 : link.sentBytes
     return {
       sentBytes: sum.sentBytes + link.sentBytes,
--- a/src/peer/Types.ts
+++ b/src/peer/Types.ts
@@ -1,5 +1,6 @@
 /**
- * Links between the system's own processes: calls with replies and casts without, over one connection per pair.
+ * Links between the processes of a cell. A link is one connection per pair of processes, and carries calls, which have
+ * a reply, and casts, which have none.
  */
 
 import type { ResultAsync } from 'neverthrow'
@@ -8,46 +9,48 @@
 import type { IDisposable, IProcessIdentity } from '../common/Types.js'
 
 /**
- * `UnreachableError`: never sent, or sent and not handled. `RefusedError`: the handler said that nothing took effect.
- * `AmbiguousError`: sent, and the link went, the time ran out before the reply or the handler broke off.
+ * How a call fails. `UnreachableError`: the call was not sent, or the peer did not run its handler. `RefusedError`: the
+ * handler stated that nothing took effect. `AmbiguousError`: the call was sent and may have taken effect, but the link
+ * was lost, the timeout ended, or the handler threw an unexpected error.
  */
 export type PeerError = UnreachableError | RefusedError | AmbiguousError
 
 /**
- * `released`: one side gave the link up in good order, which says nothing of the peer's health. `silent`: nothing was heard for
- * too long, as of a peer that is cut off or without power; `failed`: the connection broke.
+ * Why a link was lost. `released`: one side closed the link on purpose, which says nothing about the peer's health.
+ * `silent`: nothing was received for too long, as from a peer that is partitioned or without power. `failed`: the
+ * connection broke.
  */
 export type LinkLossCause = 'failed' | 'silent' | 'released'
 
 export interface IPeerHandlers {
-  /** What answers each call; a call without a handler is refused. */
+  /** Sets the handler of a call. A call without a handler is refused. */
   handle<N extends PeerCallName> (
     name: N, handler: (ask: IPeerCalls[N]['ask'], from: IProcessIdentity) => Promise<IPeerCalls[N]['reply']>): void
-  /** What hears each cast. */
+  /** Adds a listener for a cast. */
   listen<N extends PeerCastName> (name: N, listener: (cast: IPeerCasts[N], from: IProcessIdentity) => void): IDisposable
 }
 
 export interface IPeerLink {
   readonly peer: IProcessIdentity
-  /** Time of the last sign of life, by the monotonic clock. */
+  /** When something was last received from the peer, by the monotonic clock. */
   readonly lastHeardMs: number
   call<N extends PeerCallName> (name: N, ask: IPeerCalls[N]['ask'], timeoutMs: number): ResultAsync<IPeerCalls[N]['reply'], PeerError>
   cast<N extends PeerCastName> (name: N, cast: IPeerCasts[N]): void
   close (): void
 }
 
-/** All links of one process. It dials the peers it is told of, and takes those that dial it. */
+/** All links of one process. A hub dials the peers that its users name, and accepts connections from other peers. */
 export interface IPeerHub extends IPeerHandlers {
   readonly self: IProcessIdentity
-  /** Keeps a link to this address, with backoff, until disposed. */
+  /** Keeps a link to this address until disposed, and dials again with backoff if the link is lost. */
   dial (peerUrl: string, processId: string): IDisposable
   link (processId: string): IPeerLink | undefined
   links (): readonly IPeerLink[]
   onLink (listener: (link: IPeerLink) => void): IDisposable
   onLost (listener: (peer: IProcessIdentity, cause: LinkLossCause) => void): IDisposable
-  /** Bytes sent and received so far, and those to other regions, for the control cost. */
+  /** Bytes sent and received so far, and bytes sent to other regions, for the control cost. */
   traffic (): IPeerTraffic
-  /** Refuses new links and calls, waits for calls in progress up to `graceMs`, then closes. */
+  /** Refuses new links and calls, waits up to `graceMs` for the calls in progress, then closes all links. */
   close (graceMs: number): Promise<void>
 }
 
