--- a/src/common/membership/ByteBudget.ts
+++ b/src/common/membership/ByteBudget.ts
@@ -1,7 +1,7 @@
 /**
- * Bounds the bytes that membership sends. Made for churn: when a whole failure domain goes or comes back, hundreds of
- * members change at once, and unbounded gossip would crowd out requests and be paid for between regions. What finds
- * no room goes later or is found by comparing views.
+ * Token bucket that limits the bytes that membership sends. When a whole failure domain is lost or returns, hundreds
+ * of members change at once. Unlimited gossip would then displace requests, and traffic between regions costs money.
+ * News that exceeds the budget is sent later, or the peers find it by comparing views.
  */
 
 import type { IClock, MonotonicMs } from '../Types.js'
@@ -9,23 +9,23 @@
 const MS_PER_SECOND = 1_000
 
 export class ByteBudget {
-  private _savedBytes: number
-  private _filledAtMs: MonotonicMs
+  private _unspentBytes: number
+  private _refilledAtMs: MonotonicMs
 
   public constructor (private readonly _clock: IClock, private readonly _bytesPerSecond: number, private readonly _burstBytes: number) {
-    this._savedBytes = _burstBytes
-    this._filledAtMs = _clock.nowMs()
+    this._unspentBytes = _burstBytes
+    this._refilledAtMs = _clock.nowMs()
   }
 
-  /** Bytes that may be sent now. */
+  /** Number of bytes that may be sent now. */
   public get availableBytes (): number {
     const nowMs = this._clock.nowMs()
-    this._savedBytes = Math.min(this._burstBytes, this._savedBytes + (nowMs - this._filledAtMs) * this._bytesPerSecond / MS_PER_SECOND)
-    this._filledAtMs = nowMs
-    return this._savedBytes
+    this._unspentBytes = Math.min(this._burstBytes, this._unspentBytes + (nowMs - this._refilledAtMs) * this._bytesPerSecond / MS_PER_SECOND)
+    this._refilledAtMs = nowMs
+    return this._unspentBytes
   }
 
   public spend (bytes: number): void {
-    this._savedBytes -= bytes
+    this._unspentBytes -= bytes
   }
 }
--- a/src/common/membership/CastBuilder.ts
+++ b/src/common/membership/CastBuilder.ts
@@ -1,5 +1,5 @@
 /**
- * Fills one cast up to a bound of bytes. Sizes are estimates of the encoded form, on the high side.
+ * Builds one cast of at most `maxBytes` bytes. Sizes are upper estimates of the encoded size.
  */
 
 import type { IMemberNews, IMemberRecord, IMembersCast } from '../protocol/Types.js'
@@ -28,10 +28,10 @@
     return this._bytes === CAST_BYTES
   }
 
-  /** Adds if there is room; true when it is in the cast. */
+  /** Adds news if the size limit allows it. Returns whether the cast contains it. */
   public addNews (news: IMemberNews): boolean {
     if (this._news.has(news.processId) || this._records.has(news.processId)) return true
-    if (!this._reserve(newsBytes(news))) return false
+    if (!this._reserveBytes(newsBytes(news))) return false
     const { processId, incarnation, sequence, state } = news
     this._news.set(processId, { processId, incarnation, sequence, state })
     return true
@@ -39,19 +39,19 @@
 
   public addRecord (record: IMemberRecord): boolean {
     if (this._records.has(record.processId)) return true
-    if (!this._reserve(recordBytes(record))) return false
+    if (!this._reserveBytes(recordBytes(record))) return false
     this._records.set(record.processId, record)
     return true
   }
 
   public addWanted (processId: string): boolean {
     if (this._wanted.has(processId)) return true
-    if (!this._reserve(processId.length + 2)) return false
+    if (!this._reserveBytes(processId.length + 2)) return false
     this._wanted.add(processId)
     return true
   }
 
-  /** Lists a whole bucket or nothing of it. */
+  /** Adds the news of all members of a bucket, or none of them if the size limit does not allow it. Returns whether they were added. */
   public addBucket (bucket: number, members: readonly IMemberNews[]): boolean {
     const missing = members.filter((news) => !this._news.has(news.processId))
     const bytes = missing.reduce((sum, news) => sum + newsBytes(news), 2)
@@ -62,11 +62,11 @@
   }
 
   public setViewHash (viewHash: number): void {
-    if (this._reserve(HASH_BYTES)) this._viewHash = viewHash
+    if (this._reserveBytes(HASH_BYTES)) this._viewHash = viewHash
   }
 
   public setBucketHashes (hashes: readonly number[]): void {
-    if (this._reserve(HASH_BYTES * hashes.length)) this._bucketHashes = [...hashes]
+    if (this._reserveBytes(HASH_BYTES * hashes.length)) this._bucketHashes = [...hashes]
   }
 
   public build (): IMembersCast {
@@ -80,7 +80,7 @@
     }
   }
 
-  private _reserve (bytes: number): boolean {
+  private _reserveBytes (bytes: number): boolean {
     if (this._bytes + bytes > this._maxBytes) return false
     this._bytes += bytes
     return true
--- a/src/common/membership/Hash.ts
+++ b/src/common/membership/Hash.ts
@@ -1,11 +1,12 @@
 /**
- * A small hash for digests and rendezvous choices; it has to be alike in all processes, not to withstand an attacker.
+ * A small hash for digests and rendezvous hashing. It gives the same result in all processes, and is not
+ * cryptographically secure.
  */
 
 const FNV_OFFSET = 0x811c9dc5
 const FNV_PRIME = 0x01000193
 
-/** 32 bits of FNV-1a, mixed once more so that similar ids differ in every bit. */
+/** 32-bit FNV-1a with a final mix, so that the hashes of similar ids differ in all bits. */
 export function hash32 (text: string): number {
   let hash = FNV_OFFSET
   for (let index = 0; index < text.length; index++) {
--- a/src/common/membership/LinkWatch.ts
+++ b/src/common/membership/LinkWatch.ts
@@ -1,5 +1,6 @@
 /**
- * What the own links say of members: who is linked, and whose link has been gone for long enough to tell others.
+ * Evidence about members from the links of this process: which members are linked, and whose link has been lost for
+ * long enough to report it to others.
  */
 
 import type { IProcessIdentity } from '../Types.js'
@@ -7,12 +8,12 @@
 
 interface IWatchedLink {
   readonly peer: IProcessIdentity
-  readonly up: boolean
-  /** When it came up or was lost, in awake milliseconds. */
+  readonly isUp: boolean
+  /** When the link came up or was lost, in awake milliseconds. */
   readonly sinceMs: number
-  /** Losses in a row of links that did not last. */
+  /** Consecutive losses of links that did not last for `steadyLinkMs`. */
   readonly losses: number
-  readonly reported: boolean
+  readonly isReported: boolean
 }
 
 export type LinkWatchOptions = Pick<IMembershipOptions, 'suspectHoldMs' | 'maxSuspectHoldMs' | 'steadyLinkMs'>
@@ -22,23 +23,23 @@
 
   public constructor (private readonly _options: LinkWatchOptions) {}
 
-  public noteUp (peer: IProcessIdentity, awakeMs: number): void {
+  public recordUp (peer: IProcessIdentity, awakeMs: number): void {
     const losses = this._links.get(peer.processId)?.losses ?? 0
-    this._links.set(peer.processId, { peer, up: true, sinceMs: awakeMs, losses, reported: false })
+    this._links.set(peer.processId, { peer, isUp: true, sinceMs: awakeMs, losses, isReported: false })
   }
 
-  /** Notes a failed link, or a failed attempt to get one. */
-  public noteLost (peer: IProcessIdentity, awakeMs: number): void {
+  /** Records a link that failed, or a failed attempt to establish one. */
+  public recordLost (peer: IProcessIdentity, awakeMs: number): void {
     const before = this._links.get(peer.processId)
     if (before !== undefined && before.peer.incarnation > peer.incarnation) return
-    if (before?.up === false) return
+    if (before?.isUp === false) return
     const wasSteady = before === undefined || awakeMs - before.sinceMs >= this._options.steadyLinkMs
     const losses = wasSteady ? 1 : before.losses + 1
-    this._links.set(peer.processId, { peer, up: false, sinceMs: awakeMs, losses, reported: false })
+    this._links.set(peer.processId, { peer, isUp: false, sinceMs: awakeMs, losses, isReported: false })
   }
 
-  /** Notes that a link was given up in good order, which says nothing about the member. */
-  public noteReleased (peer: IProcessIdentity): void {
+  /** Records that a link was closed on purpose, which says nothing about the member's health. */
+  public recordReleased (peer: IProcessIdentity): void {
     if (this._links.get(peer.processId)?.peer.incarnation === peer.incarnation) this._links.delete(peer.processId)
   }
 
@@ -47,41 +48,41 @@
   }
 
   public isUp (peer: { readonly processId: string, readonly incarnation: number }): boolean {
-    return this._matching(peer)?.up === true
+    return this._findLink(peer)?.isUp === true
   }
 
-  /** Lost and not back. */
+  /** Whether the link was lost and has not come up again. */
   public isDown (peer: { readonly processId: string, readonly incarnation: number }): boolean {
-    return this._matching(peer)?.up === false
+    return this._findLink(peer)?.isUp === false
   }
 
   public linkedPeers (): readonly IProcessIdentity[] {
-    return [...this._links.values()].filter((link) => link.up).map((link) => link.peer)
+    return [...this._links.values()].filter((link) => link.isUp).map((link) => link.peer)
   }
 
   /**
-   * Links whose loss others should hear of now, each once.
+   * Returns the peers whose link loss is due to be reported to others. Each loss is returned once.
    *
-   * Made for a link that flaps: told of at once, every loss and every return would go to all members, and one would
-   * see the traffic of the whole cell follow one bad cable. The hold doubles with each loss until the link has
-   * lasted.
+   * Reports are delayed because of links that flap. If they were immediate, each loss and each return would be sent to
+   * all members, and one bad cable would cause traffic in the whole cell. The delay doubles with each loss until a
+   * link has lasted for `steadyLinkMs`.
    */
-  public takeDue (awakeMs: number): readonly IProcessIdentity[] {
+  public takeDueLosses (awakeMs: number): readonly IProcessIdentity[] {
     const due: IProcessIdentity[] = []
     for (const [processId, link] of this._links) {
-      if (link.up || link.reported || awakeMs - link.sinceMs < this._holdMs(link)) continue
-      this._links.set(processId, { ...link, reported: true })
+      if (link.isUp || link.isReported || awakeMs - link.sinceMs < this._reportDelayMs(link)) continue
+      this._links.set(processId, { ...link, isReported: true })
       due.push(link.peer)
     }
     return due
   }
 
-  private _matching (peer: { readonly processId: string, readonly incarnation: number }): IWatchedLink | undefined {
+  private _findLink (peer: { readonly processId: string, readonly incarnation: number }): IWatchedLink | undefined {
     const link = this._links.get(peer.processId)
     return link?.peer.incarnation === peer.incarnation ? link : undefined
   }
 
-  private _holdMs (link: IWatchedLink): number {
+  private _reportDelayMs (link: IWatchedLink): number {
     const { suspectHoldMs, maxSuspectHoldMs } = this._options
     return Math.min(maxSuspectHoldMs, suspectHoldMs * 2 ** Math.min(link.losses - 1, 16))
   }
--- a/src/common/membership/LocalMembers.ts
+++ b/src/common/membership/LocalMembers.ts
@@ -1,6 +1,6 @@
 /**
- * The members as this process sees them: what holds among all, corrected by its own links, which are better evidence
- * for what it can reach.
+ * The members as this process sees them: the shared view, overridden by the links of this process, which are better
+ * evidence of which members it can reach.
  */
 
 import { Emitter } from '../Emitter.js'
@@ -12,7 +12,7 @@
   private readonly _members = new Map<string, IMember>()
   private readonly _changeEmitter = new Emitter<IMember>()
 
-  /** Fires when a member is new here or its state or incarnation has changed. */
+  /** Fires when this process learns of a new member, or when a member's state or incarnation has changed. */
   public readonly onMember = this._changeEmitter.event
 
   public constructor (private readonly _view: MemberView, private readonly _links: LinkWatch) {}
@@ -29,7 +29,7 @@
     this._members.delete(processId)
   }
 
-  /** To be called after any change of what is said of a member or of the link to it. */
+  /** Updates a member. Must be called after any change of its record in the view or of the link to it. */
   public refresh (processId: string): void {
     const record = this._view.get(processId)
     if (record === undefined) return
--- a/src/common/membership/MemberGossip.ts
+++ b/src/common/membership/MemberGossip.ts
@@ -1,6 +1,6 @@
 /**
- * What members tell each other: fresh news a bounded number of times, records on demand, and comparisons of views
- * that find what the news has missed. Bounded in bytes per second, whatever happens.
+ * The gossip protocol between members. Fresh news is sent a limited number of times, records are sent on request, and
+ * comparisons of views find the differences that the news has missed. The bytes sent per second are always limited.
  */
 
 import type { IMemberNews, IMemberRecord, IMembersCast } from '../protocol/Types.js'
@@ -13,14 +13,14 @@
 import { comparePrecedence } from './Precedence.js'
 import { BUCKET_COUNT, bucketOf } from './ViewDigest.js'
 
-/** An answer to news about this process itself. */
+/** Handles news about this process itself. */
 export type OwnNewsHandler = (news: IMemberNews) => void
 
 export class MemberGossip {
   private readonly _queue = new NewsQueue()
   private readonly _budget: ByteBudget
-  /** Records asked for because of fresh news, which is passed on once they are here; with the time of asking. */
-  private readonly _wanted = new Map<string, number>()
+  /** Times of the requests for missing records, by process id. The fresh news that caused a request is spread once the record arrives. */
+  private readonly _requestedAtMs = new Map<string, number>()
   private _syncedAtMs = Number.NEGATIVE_INFINITY
 
   public constructor (
@@ -34,44 +34,44 @@
     this._budget = new ByteBudget(_clock, _options.bytesPerSecond, _options.burstBytes)
   }
 
-  /** Passes on what holds about a process now. */
+  /** Queues the current statement about a process for the next casts. */
   public spread (processId: string): void {
     const repeats = Math.ceil(this._options.repeatsPerDoubling * Math.log2(this._view.size + 2))
     this._queue.add(processId, repeats)
   }
 
-  /** The next cast to a linked peer: what concerns the peer itself first, for it alone can refute it. */
-  public nextCast (peerId: string): IMembersCast | undefined {
-    return this._build((builder) => {
-      this._addOwnStanding(builder, peerId)
+  /** The next cast to a linked peer. A statement about the peer itself comes first, as only the peer can refute it. */
+  public createCast (peerId: string): IMembersCast | undefined {
+    return this._buildCast((builder) => {
+      this._addPeerStatement(builder, peerId)
       builder.setViewHash(this._view.digest.viewHash)
-      this._queue.take((processId) => this._view.standing(processId), (news) => builder.addNews(news))
+      this._queue.takeForCast((processId) => this._view.statementOf(processId), (news) => builder.addNews(news))
     })
   }
 
-  /** The first cast on a new link: who this is, and what is thought of the peer. */
-  public greeting (peerId: string): IMembersCast | undefined {
-    return this._build((builder) => {
+  /** The first cast on a new link: the record of this process and the statement about the peer. */
+  public createGreeting (peerId: string): IMembersCast | undefined {
+    return this._buildCast((builder) => {
       const own = this._view.get(this._selfId)
       if (own !== undefined) builder.addRecord(own)
-      this._addOwnStanding(builder, peerId)
+      this._addPeerStatement(builder, peerId)
       builder.setViewHash(this._view.digest.viewHash)
     })
   }
 
-  /** Takes a peer's cast; gives the answer to it, if there is any. */
+  /** Applies a peer's cast. Returns the answer, or undefined if there is none. */
   public receive (fromId: string, cast: IMembersCast): IMembersCast | undefined {
-    return this._build((builder) => {
-      for (const record of cast.records ?? []) this._takeRecord(fromId, record, builder)
-      for (const news of cast.news) this._takeNews(news, cast.listedBuckets === undefined, builder)
-      for (const processId of cast.wanted ?? []) this._answerWanted(processId, builder)
+    return this._buildCast((builder) => {
+      for (const record of cast.records ?? []) this._applyRecord(fromId, record, builder)
+      for (const news of cast.news) this._applyNews(news, cast.listedBuckets === undefined, builder)
+      for (const processId of cast.wanted ?? []) this._addRequestedRecord(processId, builder)
       if (cast.viewHash !== undefined) this._compareViews(cast.viewHash, builder)
-      if (cast.bucketHashes !== undefined) this._listDiffering(cast.bucketHashes, builder)
-      if (cast.listedBuckets !== undefined) this._completeBuckets(cast.listedBuckets, cast.news, builder)
+      if (cast.bucketHashes !== undefined) this._listDifferingBuckets(cast.bucketHashes, builder)
+      if (cast.listedBuckets !== undefined) this._addUnlistedMembers(cast.listedBuckets, cast.news, builder)
     })
   }
 
-  private _build (fill: (builder: CastBuilder) => void): IMembersCast | undefined {
+  private _buildCast (fill: (builder: CastBuilder) => void): IMembersCast | undefined {
     const builder = new CastBuilder(Math.min(this._options.maxCastBytes, this._budget.availableBytes))
     fill(builder)
     if (builder.isEmpty) return undefined
@@ -79,55 +79,55 @@
     return builder.build()
   }
 
-  private _addOwnStanding (builder: CastBuilder, peerId: string): void {
-    const standing = this._view.standing(peerId)
-    if (standing !== undefined && standing.state !== 'alive') builder.addNews(standing)
+  private _addPeerStatement (builder: CastBuilder, peerId: string): void {
+    const statement = this._view.statementOf(peerId)
+    if (statement !== undefined && statement.state !== 'alive') builder.addNews(statement)
   }
 
-  private _takeRecord (fromId: string, record: IMemberRecord, builder: CastBuilder): void {
-    if (record.processId === this._selfId) return this._takeOwnNews(record, builder)
-    const isFresh = record.processId === fromId || this._wanted.delete(record.processId)
-    this._conclude(this._view.put(record), record, isFresh, builder)
+  private _applyRecord (fromId: string, record: IMemberRecord, builder: CastBuilder): void {
+    if (record.processId === this._selfId) return this._handleOwnNews(record, builder)
+    const isFresh = record.processId === fromId || this._requestedAtMs.delete(record.processId)
+    this._handleMergeResult(this._view.putRecord(record), record, isFresh, builder)
   }
 
-  private _takeNews (news: IMemberNews, isFresh: boolean, builder: CastBuilder): void {
-    if (news.processId === this._selfId) return this._takeOwnNews(news, builder)
-    this._conclude(this._view.apply(news), news, isFresh, builder)
+  private _applyNews (news: IMemberNews, isFresh: boolean, builder: CastBuilder): void {
+    if (news.processId === this._selfId) return this._handleOwnNews(news, builder)
+    this._handleMergeResult(this._view.applyNews(news), news, isFresh, builder)
   }
 
-  private _takeOwnNews (news: IMemberNews, builder: CastBuilder): void {
+  private _handleOwnNews (news: IMemberNews, builder: CastBuilder): void {
     this._onOwnNews(news)
     const own = this._view.get(this._selfId)
     if (own !== undefined && comparePrecedence(own, news) > 0) builder.addNews(own)
   }
 
-  private _conclude (result: MergeResult, news: IMemberNews, isFresh: boolean, builder: CastBuilder): void {
+  private _handleMergeResult (result: MergeResult, news: IMemberNews, isFresh: boolean, builder: CastBuilder): void {
     const { processId } = news
     if (result === 'applied' && isFresh) this.spread(processId)
-    if (result === 'older') this._correct(processId, builder)
-    if (result === 'unknown') this._want(processId, isFresh, builder)
+    if (result === 'older') this._addCorrection(processId, builder)
+    if (result === 'unknown') this._requestRecord(processId, isFresh, builder)
   }
 
-  private _correct (processId: string, builder: CastBuilder): void {
-    const standing = this._view.standing(processId)
-    if (standing !== undefined) builder.addNews(standing)
+  private _addCorrection (processId: string, builder: CastBuilder): void {
+    const statement = this._view.statementOf(processId)
+    if (statement !== undefined) builder.addNews(statement)
   }
 
-  private _want (processId: string, isFresh: boolean, builder: CastBuilder): void {
+  private _requestRecord (processId: string, isFresh: boolean, builder: CastBuilder): void {
     const nowMs = this._clock.nowMs()
-    const askedAtMs = this._wanted.get(processId)
-    if (askedAtMs !== undefined && nowMs - askedAtMs < this._options.syncMs) return
+    const requestedAtMs = this._requestedAtMs.get(processId)
+    if (requestedAtMs !== undefined && nowMs - requestedAtMs < this._options.syncMs) return
     if (!builder.addWanted(processId)) return
-    // Entries of listed buckets are known to others already; only fresh ones are remembered, and passed on later.
-    if (isFresh && this._wanted.size < this._options.maxMembers) this._wanted.set(processId, nowMs)
+    // Other members already know the entries of listed buckets. Only fresh news is remembered, to be spread later.
+    if (isFresh && this._requestedAtMs.size < this._options.maxMembers) this._requestedAtMs.set(processId, nowMs)
   }
 
-  private _answerWanted (processId: string, builder: CastBuilder): void {
+  private _addRequestedRecord (processId: string, builder: CastBuilder): void {
     const record = this._view.get(processId)
     if (record !== undefined) builder.addRecord(record)
   }
 
-  /** While news is on its way, views differ for a moment; one comparison per `syncMs` keeps that cheap. */
+  /** Starts a comparison of views. Views differ briefly while news spreads, so there is at most one comparison per `syncMs`. */
   private _compareViews (viewHash: number, builder: CastBuilder): void {
     if (viewHash === this._view.digest.viewHash) return
     const nowMs = this._clock.nowMs()
@@ -136,34 +136,34 @@
     builder.setBucketHashes(this._view.digest.buckets)
   }
 
-  /** Lists differing buckets, from a random one on, so that in the end each has its turn. */
-  private _listDiffering (hashes: readonly number[], builder: CastBuilder): void {
+  /** Lists the buckets that differ. Starts at a random one, so that over several casts each bucket is listed. */
+  private _listDifferingBuckets (hashes: readonly number[], builder: CastBuilder): void {
     const own = this._view.digest.buckets
     const start = Math.floor(this._random.next() * BUCKET_COUNT)
     for (let step = 0; step < BUCKET_COUNT; step++) {
       const bucket = (start + step) % BUCKET_COUNT
       if (hashes[bucket] === own[bucket]) continue
-      const members = this._membersOf(bucket)
-      if (!builder.addBucket(bucket, members)) return this._listPart(members, builder)
+      const members = this._membersOfBucket(bucket)
+      if (!builder.addBucket(bucket, members)) return this._addPartOfBucket(members, builder)
     }
   }
 
-  /** A bucket too large for what is left of the cast: any part of it is of use, but it is not listed. */
-  private _listPart (members: readonly IMemberNews[], builder: CastBuilder): void {
+  /** Adds as much of a bucket as the cast has room for. The bucket is not marked as listed, but each entry is useful. */
+  private _addPartOfBucket (members: readonly IMemberNews[], builder: CastBuilder): void {
     const start = Math.floor(this._random.next() * members.length)
     for (const news of [...members.slice(start), ...members.slice(0, start)]) {
       if (!builder.addNews(news)) return
     }
   }
 
-  private _completeBuckets (buckets: readonly number[], listed: readonly IMemberNews[], builder: CastBuilder): void {
+  private _addUnlistedMembers (buckets: readonly number[], listed: readonly IMemberNews[], builder: CastBuilder): void {
     const listedIds = new Set(listed.map((news) => news.processId))
     for (const bucket of buckets) {
-      for (const news of this._membersOf(bucket)) if (!listedIds.has(news.processId)) builder.addNews(news)
+      for (const news of this._membersOfBucket(bucket)) if (!listedIds.has(news.processId)) builder.addNews(news)
     }
   }
 
-  private _membersOf (bucket: number): readonly IMemberNews[] {
+  private _membersOfBucket (bucket: number): readonly IMemberNews[] {
     const members: IMemberNews[] = []
     for (const record of this._view.all()) {
       if (record.state !== 'dead' && bucketOf(record.processId) === bucket) members.push(record)
--- a/src/common/membership/MemberView.ts
+++ b/src/common/membership/MemberView.ts
@@ -1,6 +1,6 @@
 /**
- * What is known of every member: the statement that holds, and its record. Pure merging; who says what, and when,
- * is decided elsewhere.
+ * The record and the current statement of every member. This class only merges statements. Which statements are made,
+ * and when, is decided elsewhere.
  */
 
 import { Emitter } from '../Emitter.js'
@@ -9,12 +9,12 @@
 import { Tombstones } from './Tombstones.js'
 import { ViewDigest } from './ViewDigest.js'
 
-/** What became of a statement: `older` and `same` changed nothing, of `unknown` the record is missing. */
+/** The result of merging a statement. `older` and `same` changed nothing. `unknown`: the record of the process is missing. */
 export type MergeResult = 'applied' | 'older' | 'same' | 'unknown'
 
 export interface IViewChange {
   readonly record: IMemberRecord
-  /** Absent for a member that was not known. */
+  /** Undefined for a new member. */
   readonly previous?: IMemberRecord
 }
 
@@ -46,20 +46,20 @@
     return this._records.values()
   }
 
-  /** The statement that holds, of a forgotten member too. */
-  public standing (processId: string): IMemberNews | undefined {
+  /** The current statement about a process, including a member that was forgotten. */
+  public statementOf (processId: string): IMemberNews | undefined {
     return this._records.get(processId) ?? this._tombstones.get(processId)
   }
 
-  /** Takes a statement about a member. */
-  public apply (news: IMemberNews): MergeResult {
-    const standing = this.standing(news.processId)
-    const order = standing === undefined ? 1 : comparePrecedence(news, standing)
-    if (order === 0) return 'same'
-    if (order < 0) return 'older'
+  /** Merges a statement about a member. */
+  public applyNews (news: IMemberNews): MergeResult {
+    const current = this.statementOf(news.processId)
+    const precedence = current === undefined ? 1 : comparePrecedence(news, current)
+    if (precedence === 0) return 'same'
+    if (precedence < 0) return 'older'
     const record = this._records.get(news.processId)
     if (record?.incarnation === news.incarnation) {
-      this._set({ ...record, sequence: news.sequence, state: news.state }, record)
+      this._setRecord({ ...record, sequence: news.sequence, state: news.state }, record)
       return 'applied'
     }
     if (news.state !== 'dead') return 'unknown'
@@ -67,36 +67,37 @@
     return 'applied'
   }
 
-  /** Takes a whole record. */
-  public put (record: IMemberRecord): MergeResult {
-    const result = this.apply(record)
+  /** Merges a full record. */
+  public putRecord (record: IMemberRecord): MergeResult {
+    const result = this.applyNews(record)
     if (result !== 'unknown') return result
     const previous = this._records.get(record.processId)
     if (previous === undefined && this._records.size >= this._maxMembers) return 'unknown'
     this._tombstones.delete(record.processId)
-    this._set(record, previous)
+    this._setRecord(record, previous)
     return 'applied'
   }
 
-  /** Drops the record of a dead member and keeps its last word. */
+  /** Removes the record of a dead member and keeps its last statement as a tombstone. */
   public forget (record: IMemberRecord): void {
     this._records.delete(record.processId)
     this._tombstones.put(record)
   }
 
   /**
-   * Nothing is known of this incarnation but its death. The record of an earlier one is dead too, and dropped: were
-   * it raised to the new incarnation, a refutation would bring it back with the addresses of the old process.
+   * Applies the death of an incarnation whose record is not known. The record of an earlier incarnation is marked dead
+   * and removed. If it were kept under the new incarnation, a refutation would make it alive again with the addresses
+   * of the old process.
    */
   private _applyUnknownDeath (news: IMemberNews, record: IMemberRecord | undefined): void {
     if (record !== undefined) {
-      this._set({ ...record, state: 'dead' }, record)
+      this._setRecord({ ...record, state: 'dead' }, record)
       this._records.delete(record.processId)
     }
     this._tombstones.put(news)
   }
 
-  private _set (record: IMemberRecord, previous: IMemberRecord | undefined): void {
+  private _setRecord (record: IMemberRecord, previous: IMemberRecord | undefined): void {
     if (previous !== undefined) this._digest.toggle(previous)
     this._digest.toggle(record)
     this._records.set(record.processId, record)
--- a/src/common/membership/Membership.ts
+++ b/src/common/membership/Membership.ts
@@ -1,6 +1,6 @@
 /**
- * Who is there, alive, leaving or dead, put together from the store, the own links and what peers tell. Free of I/O:
- * it is told what happened and gives the casts to send.
+ * Which members there are and their states, derived from the store, the links of this process and the gossip of peers.
+ * `Membership` does no I/O: it is notified of events and returns the casts to send.
  */
 
 import { AwakeClock } from '../AwakeClock.js'
@@ -19,7 +19,7 @@
 import { chooseRandom } from './RandomChoice.js'
 import { StoreWatch } from './StoreWatch.js'
 
-/** What a process says of itself. */
+/** How a process describes itself. */
 export type SelfDescription = Omit<IMember, 'state'>
 
 export interface IOutgoingCast {
@@ -29,19 +29,19 @@
 
 export class Membership {
   private readonly _options: IMembershipOptions
-  private readonly _awake: AwakeClock
+  private readonly _awakeClock: AwakeClock
   private readonly _view: MemberView
   private readonly _gossip: MemberGossip
   private readonly _links: LinkWatch
   private readonly _store: StoreWatch
-  /** When a suspect or leaving member is dead, or a dead one forgotten, in awake milliseconds. */
+  /** When a suspect or leaving member is declared dead, or a dead member is forgotten, in awake milliseconds. */
   private readonly _deadlines = new Map<string, number>()
-  private readonly _local: LocalMembers
+  private readonly _localMembers: LocalMembers
   private readonly _supersededEmitter = new Emitter<IMemberNews>()
 
-  /** Fires when another process under our own id has a higher incarnation: this one is no longer listened to. */
+  /** Fires when another process with the same process id has a higher incarnation. Other members then ignore statements of this process. */
   public readonly onSuperseded = this._supersededEmitter.event
-  /** Fires when a member is new here or its state or incarnation has changed. */
+  /** Fires when this process learns of a new member, or when a member's state or incarnation has changed. */
   public readonly onMember: Event<IMember>
 
   public constructor (
@@ -51,136 +51,136 @@
     private readonly _random: IRandom
   ) {
     this._options = { ...MEMBERSHIP_DEFAULTS, ...options }
-    this._awake = new AwakeClock(clock, this._options.gossipMs)
+    this._awakeClock = new AwakeClock(clock, this._options.gossipMs)
     this._links = new LinkWatch(this._options)
     this._store = new StoreWatch(this._options.storeTrustMs)
     this._view = new MemberView(this._options.maxMembers, this._options.maxTombstones)
-    this._local = new LocalMembers(this._view, this._links)
-    this.onMember = this._local.onMember
+    this._localMembers = new LocalMembers(this._view, this._links)
+    this.onMember = this._localMembers.onMember
     this._gossip = new MemberGossip(_self.processId, this._view, this._options, clock, _random, (news) => this._onOwnNews(news))
     this._view.onChange((change) => this._onViewChange(change))
-    this._view.put({ ..._self, state: 'alive', sequence: 0 })
+    this._view.putRecord({ ..._self, state: 'alive', sequence: 0 })
   }
 
-  /** All members known here, this process included, dead ones until they are forgotten. */
+  /** All known members, including this process, and including dead members until they are forgotten. */
   public members (): readonly IMember[] {
-    return this._local.all()
+    return this._localMembers.all()
   }
 
   public get (processId: string): IMember | undefined {
-    return this._local.get(processId)
+    return this._localMembers.get(processId)
   }
 
-  /** The statement about a process that holds among all, whatever the own links say; for the state dump. */
+  /** The current statement about a process in the shared view, regardless of the links of this process. For the state dump. */
   public standing (processId: string): IMemberNews | undefined {
-    return this._view.standing(processId)
+    return this._view.statementOf(processId)
   }
 
-  /** What all members agree on in the end: hash of the view without the dead. */
+  /** Hash of the view without dead members. It becomes equal on all members once their views have converged. */
   public get viewHash (): number {
     return this._view.digest.viewHash
   }
 
-  /** Processes whose record is in the store although they are dead or unknown here: worth dialling. */
-  public inStoreButDead (): readonly IMember[] {
-    return [...this._store.present()].filter((member) => (this._local.get(member.processId)?.state ?? 'dead') === 'dead')
+  /** Processes that have a record in the store but are dead or unknown in the local view, so that they should be dialled. */
+  public deadMembersInStore (): readonly IMember[] {
+    return [...this._store.present()].filter((member) => (this._localMembers.get(member.processId)?.state ?? 'dead') === 'dead')
   }
 
-  /** A link to this process stands. Gives what to say first on it. */
+  /** Called when a link to this peer is up. Returns the first cast to send on it. */
   public linkUp (peer: IProcessIdentity): IMembersCast | undefined {
-    this._links.noteUp(peer, this._awake.awakeMs)
-    this._local.refresh(peer.processId)
-    return this._gossip.greeting(peer.processId)
+    this._links.recordUp(peer, this._awakeClock.awakeMs)
+    this._localMembers.refresh(peer.processId)
+    return this._gossip.createGreeting(peer.processId)
   }
 
-  /** A link failed, or could not be had. */
+  /** Called when a link has failed or could not be established. */
   public linkLost (peer: IProcessIdentity): void {
-    this._links.noteLost(peer, this._awake.awakeMs)
-    this._local.refresh(peer.processId)
+    this._links.recordLost(peer, this._awakeClock.awakeMs)
+    this._localMembers.refresh(peer.processId)
   }
 
-  /** A link was given up in good order. A leaving member that does so has most likely gone. */
+  /** Called when a link was closed on purpose. If the peer is leaving, it has most likely stopped. */
   public linkReleased (peer: IProcessIdentity): void {
     if (this._view.get(peer.processId)?.state === 'leaving') return this.linkLost(peer)
-    this._links.noteReleased(peer)
-    this._local.refresh(peer.processId)
+    this._links.recordReleased(peer)
+    this._localMembers.refresh(peer.processId)
   }
 
-  /** A peer's cast. Gives the answer to it, if there is any. */
+  /** Applies a peer's cast. Returns the answer, or undefined if there is none. */
   public receive (fromId: string, cast: IMembersCast): IMembersCast | undefined {
     return this._gossip.receive(fromId, cast)
   }
 
-  /** The store can or can't be reached. */
+  /** Called when the store becomes reachable or unreachable. */
   public storeReachable (reachable: boolean): void {
-    this._store.noteReachable(reachable, this._awake.awakeMs)
+    this._store.recordReachable(reachable, this._awakeClock.awakeMs)
   }
 
-  /** The store holds this record. */
+  /** Called when the store contains this record. */
   public storePresent (member: IMember): void {
-    this._store.notePresent(member)
+    this._store.recordPresent(member)
     this._putFromStore(member)
   }
 
-  /** The store no longer holds the record of this process. */
+  /** Called when the store no longer contains the record of a process. */
   public storeAbsent (processId: string): void {
-    this._store.noteAbsent(processId)
+    this._store.recordAbsent(processId)
   }
 
-  /** Everything that the store holds, after a gap. */
+  /** Called with all records of the store, after a gap in the watch. */
   public storeAll (members: readonly IMember[]): void {
-    this._store.noteAll(members)
+    this._store.recordAll(members)
     for (const member of members) this._putFromStore(member)
   }
 
-  /** Says that this process leaves: it gets no new work. */
+  /** Announces that this process is leaving, so that it receives no new work. */
   public leave (): void {
-    this._say((own) => ({ ...own, state: 'leaving', sequence: own.sequence + 1 }))
+    this._announce((own) => ({ ...own, state: 'leaving', sequence: own.sequence + 1 }))
   }
 
-  /** A cast to one linked peer outside of the rounds, for news that must not wait. */
-  public castTo (peerId: string): IMembersCast | undefined {
-    return this._gossip.nextCast(peerId)
+  /** A cast to one linked peer between the rounds, for news that must not wait. */
+  public createCastFor (peerId: string): IMembersCast | undefined {
+    return this._gossip.createCast(peerId)
   }
 
-  /** To be called every `gossipMs`: judges the silent, and gives the casts of this round. */
+  /** Must be called every `gossipMs`. Updates the states of unreachable members and returns the casts of this round. */
   public tick (): readonly IOutgoingCast[] {
-    this._awake.tick()
-    for (const peer of this._links.takeDue(this._awake.awakeMs)) this._onLinkGone(peer)
-    for (const member of this._store.takeAbsent(this._awake.awakeMs)) this._suspect(member)
-    this._passDeadlines()
-    return this._round()
+    this._awakeClock.tick()
+    for (const peer of this._links.takeDueLosses(this._awakeClock.awakeMs)) this._onLinkLossDue(peer)
+    for (const member of this._store.takeAbsent(this._awakeClock.awakeMs)) this._suspect(member)
+    this._applyDeadlines()
+    return this._buildRound()
   }
 
   /**
-   * Not passed on as news: the others read the same store, or find the difference by comparing views. A process that
-   * starts would otherwise tell everybody about everybody.
+   * Merges a record from the store without spreading it: other members read the same store, or find the difference by
+   * comparing views. Otherwise a process that starts would send news of all members to all members.
    */
   private _putFromStore (member: IMember): void {
-    if (member.processId !== this._self.processId) this._view.put({ ...member, sequence: 0 })
+    if (member.processId !== this._self.processId) this._view.putRecord({ ...member, sequence: 0 })
   }
 
   private _onOwnNews (news: IMemberNews): void {
     if (news.incarnation > this._self.incarnation) this._supersededEmitter.fire(news)
-    this._say((own) => refute(own, news))
+    this._announce((own) => refute(own, news))
   }
 
-  private _say (change: (own: IMemberRecord) => IMemberNews | undefined): void {
+  private _announce (change: (own: IMemberRecord) => IMemberNews | undefined): void {
     const own = this._view.get(this._self.processId)
     const next = own === undefined ? undefined : change(own)
-    if (next !== undefined) this._assert(next)
+    if (next !== undefined) this._applyAndSpread(next)
   }
 
-  /** Puts forward a statement of our own. */
-  private _assert (news: IMemberNews): void {
-    if (this._view.apply(news) === 'applied') this._gossip.spread(news.processId)
+  /** Applies a statement that this process makes, and spreads it. */
+  private _applyAndSpread (news: IMemberNews): void {
+    if (this._view.applyNews(news) === 'applied') this._gossip.spread(news.processId)
   }
 
-  private _onLinkGone (peer: IProcessIdentity): void {
+  private _onLinkLossDue (peer: IProcessIdentity): void {
     const record = this._view.get(peer.processId)
     if (record === undefined) this._links.forget(peer.processId)
     if (record?.incarnation !== peer.incarnation) return
-    if (record.state === 'leaving') this._deadlines.set(peer.processId, this._awake.awakeMs + this._suspectMs())
+    if (record.state === 'leaving') this._deadlines.set(peer.processId, this._awakeClock.awakeMs + this._suspectTimeoutMs())
     else this._suspect(peer)
   }
 
@@ -188,26 +188,26 @@
     const record = this._view.get(peer.processId)
     if (peer.processId === this._self.processId) return
     if (record?.state !== 'alive' || record.incarnation !== peer.incarnation || this._links.isUp(peer)) return
-    this._assert({ ...record, state: 'suspect' })
+    this._applyAndSpread({ ...record, state: 'suspect' })
   }
 
-  private _passDeadlines (): void {
+  private _applyDeadlines (): void {
     for (const [processId, deadlineMs] of [...this._deadlines]) {
       const record = this._view.get(processId)
-      if (deadlineMs > this._awake.awakeMs || (record !== undefined && this._links.isUp(record))) continue
+      if (deadlineMs > this._awakeClock.awakeMs || (record !== undefined && this._links.isUp(record))) continue
       this._deadlines.delete(processId)
       if (record === undefined || record.state === 'dead') this._forget(processId, record)
-      else this._assert({ ...record, state: 'dead' })
+      else this._applyAndSpread({ ...record, state: 'dead' })
     }
   }
 
   private _forget (processId: string, record: IMemberRecord | undefined): void {
     if (record !== undefined) this._view.forget(record)
     this._links.forget(processId)
-    this._local.forget(processId)
+    this._localMembers.forget(processId)
   }
 
-  private _suspectMs (): number {
+  private _suspectTimeoutMs (): number {
     return this._options.suspectMs * Math.max(1, Math.log10(this._view.size))
   }
 
@@ -215,34 +215,38 @@
     const { processId, state } = record
     this._deadlines.delete(processId)
     if (processId !== this._self.processId) {
-      if (state === 'suspect') this._deadlines.set(processId, this._awake.awakeMs + this._suspectMs())
-      if (state === 'dead') this._deadlines.set(processId, this._awake.awakeMs + this._options.forgetMs)
+      if (state === 'suspect') this._deadlines.set(processId, this._awakeClock.awakeMs + this._suspectTimeoutMs())
+      if (state === 'dead') this._deadlines.set(processId, this._awakeClock.awakeMs + this._options.forgetMs)
     }
-    this._local.refresh(processId)
+    this._localMembers.refresh(processId)
   }
 
-  private _round (): readonly IOutgoingCast[] {
+  private _buildRound (): readonly IOutgoingCast[] {
     const casts: IOutgoingCast[] = []
-    for (const peerId of this._roundPeers()) {
-      const cast = this._gossip.nextCast(peerId)
+    for (const peerId of this._selectRoundPeers()) {
+      const cast = this._gossip.createCast(peerId)
       if (cast !== undefined) casts.push({ peerId, cast })
     }
     return casts
   }
 
-  private _roundPeers (): ReadonlySet<string> {
+  private _selectRoundPeers (): ReadonlySet<string> {
     const linked = this._links.linkedPeers()
-    const near = linked.filter((peer) => peer.region === this._self.region)
-    const far = linked.filter((peer) => peer.region !== this._self.region)
-    const isFarTurn = near.length === 0 || this._random.next() < this._options.crossRegionChance
-    const misjudged = linked.filter((peer) => this._isMisjudged(peer))
-    const chosen = [...misjudged, ...chooseRandom(near, this._options.fanout, this._random), ...chooseRandom(far, isFarTurn ? 1 : 0, this._random)]
+    const sameRegion = linked.filter((peer) => peer.region === this._self.region)
+    const otherRegions = linked.filter((peer) => peer.region !== this._self.region)
+    const includesOtherRegion = sameRegion.length === 0 || this._random.next() < this._options.crossRegionChance
+    const refuting = linked.filter((peer) => this._hasToRefute(peer))
+    const chosen = [
+      ...refuting,
+      ...chooseRandom(sameRegion, this._options.fanout, this._random),
+      ...chooseRandom(otherRegions, includesOtherRegion ? 1 : 0, this._random)
+    ]
     return new Set(chosen.map((peer) => peer.processId))
   }
 
-  /** Linked, yet suspected or dead in the common view: it has to hear of it, for it alone can refute it. */
-  private _isMisjudged (peer: IProcessIdentity): boolean {
-    const state = this._view.standing(peer.processId)?.state
+  /** Whether a linked peer is suspect or dead in the shared view. The peer must be told, as only the peer can refute this. */
+  private _hasToRefute (peer: IProcessIdentity): boolean {
+    const state = this._view.statementOf(peer.processId)?.state
     return state === 'suspect' || state === 'dead'
   }
 }
--- a/src/common/membership/Options.ts
+++ b/src/common/membership/Options.ts
@@ -1,41 +1,41 @@
 /**
- * The settings of membership in one place, with the reason for each.
+ * The options of membership, with the reason for each.
  */
 
 export interface IMembershipOptions {
   /** Time between rounds of gossip. */
   readonly gossipMs: number
-  /** Peers of the own region that one round goes to. */
+  /** Number of peers in the same region that one round is sent to. */
   readonly fanout: number
-  /** The chance that a round goes to one peer of another region too: that traffic is slow and paid for by volume. */
+  /** Probability that a round is also sent to one peer in another region. This traffic is slow and paid by volume. */
   readonly crossRegionChance: number
-  /** How long a lost link is held back before others are told: a link that returns at once costs nobody a message. */
+  /** Delay before a lost link is reported to others, so that a link that returns at once causes no messages. */
   readonly suspectHoldMs: number
-  /** The longest such hold, for a link that is lost again and again. */
+  /** Upper limit of this delay, for a link that is lost repeatedly. */
   readonly maxSuspectHoldMs: number
-  /** A link that lasted this long counts as steady again. */
+  /** Time after which a link counts as steady again. */
   readonly steadyLinkMs: number
   /**
-   * From suspected to dead with up to ten members; grows with the logarithm of their number, as the suspicion has to
-   * reach the member and its refutation everybody else.
+   * Time from suspect to dead with up to ten members. It grows with the logarithm of the member count, as the suspicion
+   * must reach the member and the refutation must reach all others.
    */
   readonly suspectMs: number
-  /** How long a dead member's record is kept, so that a healed partition can be found again. */
+  /** Time for which a dead member's record is kept, so that the member is found again when a partition heals. */
   readonly forgetMs: number
-  /** Forgotten members whose last word is kept, so that old gossip can't bring them back. */
+  /** Maximum number of forgotten members whose last statement is kept, so that old gossip can't make them alive again. */
   readonly maxTombstones: number
-  /** More members than this are not taken in. */
+  /** Maximum number of members. Records of further processes are ignored. */
   readonly maxMembers: number
-  /** How long the store must have been reachable before an absent record counts against a member. */
+  /** Time for which the store must have been reachable before a missing record makes a member suspect. */
   readonly storeTrustMs: number
-  /** Bytes of membership sent per second on average, and at most at once. */
+  /** Average limit on the bytes of membership that a process sends per second; `burstBytes` is the limit at one time. */
   readonly bytesPerSecond: number
   readonly burstBytes: number
   /** The largest cast, in bytes. */
   readonly maxCastBytes: number
-  /** Sends per item of news for each doubling of the member count. */
+  /** How many more times an item of news is sent for each doubling of the member count. */
   readonly repeatsPerDoubling: number
-  /** Least time between two comparisons of views that this process starts. */
+  /** Minimum time between two comparisons of views that this process starts. */
   readonly syncMs: number
 }
 
--- a/src/common/membership/PeerSelection.ts
+++ b/src/common/membership/PeerSelection.ts
@@ -1,6 +1,6 @@
 /**
- * Whom a process links to. Nobody keeps a full mesh at hundreds of entry hosts: heartbeats and summaries of all to
- * all would alone be more than the whole budget for control.
+ * Selects the members that a process links to. With hundreds of entry hosts there is no full mesh: the heartbeats and
+ * load summaries of a full mesh would alone exceed the budget for control traffic.
  */
 
 import type { IMember } from '../protocol/Types.js'
@@ -8,13 +8,13 @@
 import { hash32 } from './Hash.js'
 
 export interface IPeerSelectionOptions {
-  /** With up to this many schedulers everybody links to all of them: an idle link costs about 100 bytes/s. */
+  /** With up to this many schedulers each process links to all of them. An idle link costs about 100 bytes/s. */
   readonly fullMeshUpTo: number
-  /** Schedulers of the own region, in a larger cell; up to this many there, it is all of them. */
+  /** Maximum number of schedulers selected in the own region, if there are more than `fullMeshUpTo`. */
   readonly maxOwnRegion: number
-  /** Schedulers of each other region. */
+  /** Number of schedulers selected in each other region, if there are more than `fullMeshUpTo`. */
   readonly perOtherRegion: number
-  /** With fewer schedulers than this, gateways are linked to as well, so that news still has a way. */
+  /** With fewer schedulers than this, gateways are selected too, so that news can still spread. */
   readonly minPeers: number
 }
 
@@ -26,10 +26,11 @@
   public constructor (private readonly _self: IProcessIdentity, private readonly _options: IPeerSelectionOptions) {}
 
   /**
-   * Chooses among the members that are not dead: a suspect one is dialled until it is back or dead.
+   * Selects among the members that are not dead. A suspect member is dialled until it is alive or dead.
    *
-   * By rendezvous hashing over (self, peer): each process has a sample of its own, so that the links of all form one
-   * well-mixed graph, and a member that comes or goes changes at most one choice of each other process.
+   * The selection uses rendezvous hashing over (self, peer). Each process selects a sample of its own, so that the links
+   * of all processes form one well-mixed graph. A member that joins or leaves changes at most one selected peer of each
+   * other process.
    */
   public select (members: readonly IMember[]): readonly IMember[] {
     const present = members.filter((member) => member.state !== 'dead' && member.processId !== this._self.processId)
@@ -41,18 +42,18 @@
     if (candidates.length <= this._options.fullMeshUpTo) return candidates
     const byRegion = new Map<string, IMember[]>()
     for (const member of candidates) {
-      const region = byRegion.get(member.region)
-      if (region === undefined) byRegion.set(member.region, [member])
-      else region.push(member)
+      const inRegion = byRegion.get(member.region)
+      if (inRegion === undefined) byRegion.set(member.region, [member])
+      else inRegion.push(member)
     }
-    return [...byRegion].flatMap(([region, inRegion]) => this._highest(inRegion, this._countFor(region)))
+    return [...byRegion].flatMap(([region, inRegion]) => this._selectHighest(inRegion, this._countFor(region)))
   }
 
   private _countFor (region: string): number {
     return region === this._self.region ? this._options.maxOwnRegion : this._options.perOtherRegion
   }
 
-  private _highest (members: readonly IMember[], count: number): readonly IMember[] {
+  private _selectHighest (members: readonly IMember[], count: number): readonly IMember[] {
     if (members.length <= count) return members
     const scored = members.map((member) => ({ member, score: hash32(`${this._self.processId} ${member.processId}`) }))
     scored.sort((a, b) => b.score - a.score)
--- a/src/common/membership/StoreWatch.ts
+++ b/src/common/membership/StoreWatch.ts
@@ -1,5 +1,6 @@
 /**
- * What the store says of members: whose record is there, and whose has gone while the store could be trusted.
+ * Evidence about members from the store: whose record is present, and whose record is missing although the store has
+ * been reachable for long enough.
  */
 
 import type { IMember } from '../protocol/Types.js'
@@ -11,41 +12,41 @@
 
   public constructor (private readonly _trustMs: number) {}
 
-  public noteReachable (reachable: boolean, awakeMs: number): void {
+  public recordReachable (reachable: boolean, awakeMs: number): void {
     if (!reachable) this._reachableSinceMs = undefined
     else this._reachableSinceMs ??= awakeMs
   }
 
-  public notePresent (member: IMember): void {
+  public recordPresent (member: IMember): void {
     this._present.set(member.processId, member)
     this._absent.delete(member.processId)
   }
 
-  public noteAbsent (processId: string): void {
+  public recordAbsent (processId: string): void {
     const member = this._present.get(processId)
     if (member === undefined) return
     this._present.delete(processId)
     this._absent.set(processId, member)
   }
 
-  /** Takes the whole of what the store holds, after a gap. */
-  public noteAll (members: readonly IMember[]): void {
+  /** Replaces the present records by all records of the store, after a gap in the watch. */
+  public recordAll (members: readonly IMember[]): void {
     const ids = new Set(members.map((member) => member.processId))
-    for (const processId of [...this._present.keys()]) if (!ids.has(processId)) this.noteAbsent(processId)
-    for (const member of members) this.notePresent(member)
+    for (const processId of [...this._present.keys()]) if (!ids.has(processId)) this.recordAbsent(processId)
+    for (const member of members) this.recordPresent(member)
   }
 
-  /** Members whose record is in the store. */
+  /** The members whose record is in the store. */
   public present (): IterableIterator<IMember> {
     return this._present.values()
   }
 
   /**
-   * Members whose record has gone, each once.
+   * Returns the members whose record is missing, each one once.
    *
-   * In an outage leases lapse although their holders live and only can't renew them; when the store is back, their
-   * records are gone. Were that believed, one would see the whole cell suspected at the end of each outage. Absence
-   * counts only after the store has been reachable for long enough to register again.
+   * During a store outage leases expire although their holders are alive, as the holders can't renew them. Afterwards
+   * their records are missing. If this counted at once, the whole cell would be suspect at the end of each outage. So a
+   * missing record counts only after the store has been reachable for long enough for members to register again.
    */
   public takeAbsent (awakeMs: number): readonly IMember[] {
     if (this._reachableSinceMs === undefined || awakeMs - this._reachableSinceMs < this._trustMs) return []
--- a/src/common/membership/Tombstones.ts
+++ b/src/common/membership/Tombstones.ts
@@ -1,7 +1,8 @@
 /**
- * The last word on members that were forgotten. A process that was cut off for long may still pass on that such a
- * member is alive; without its last word one would see dead processes return to the lists, be dialled and be
- * suspected again. The oldest are dropped beyond a bound: about 100 bytes each.
+ * The last statement about each member that was forgotten. A process that was partitioned for a long time may still
+ * report such a member as alive. Without the last statement, dead processes would return to the member lists, be
+ * dialled and be suspected again. The number of entries is limited, as each takes about 100 bytes; the oldest are
+ * dropped.
  */
 
 import type { IMemberNews } from '../protocol/Types.js'
@@ -9,7 +10,7 @@
 export class Tombstones {
   private readonly _news = new Map<string, IMemberNews>()
 
-  public constructor (private readonly _max: number) {}
+  public constructor (private readonly _maxEntries: number) {}
 
   public get (processId: string): IMemberNews | undefined {
     return this._news.get(processId)
@@ -19,7 +20,7 @@
     const { processId, incarnation, sequence } = news
     this._news.delete(processId)
     this._news.set(processId, { processId, incarnation, sequence, state: 'dead' })
-    if (this._news.size <= this._max) return
+    if (this._news.size <= this._maxEntries) return
     const [oldest] = this._news.keys()
     if (oldest !== undefined) this._news.delete(oldest)
   }
--- a/src/common/membership/ViewDigest.ts
+++ b/src/common/membership/ViewDigest.ts
@@ -1,13 +1,14 @@
 /**
- * Hashes of a view, kept up to date member by member, so that two views are compared without sending them.
+ * Hashes of a view, updated with each change of a member, so that two processes can compare their views without
+ * sending them.
  */
 
 import type { IMemberNews } from '../protocol/Types.js'
 import { hash32 } from './Hash.js'
 
 /**
- * Buckets of process ids. Two views that differ in one member exchange the bucket hashes and one bucket: with 900
- * members 28 of them, about 1 KB.
+ * Number of buckets of process ids. Two processes whose views differ in one member exchange the bucket hashes and one
+ * bucket. With 900 members this bucket has about 28 members, and the exchange takes about 1 KB.
  */
 export const BUCKET_COUNT = 32
 
@@ -18,7 +19,7 @@
 export class ViewDigest {
   private readonly _buckets = new Array<number>(BUCKET_COUNT).fill(0)
 
-  /** Puts a member in, or takes it out again. Dead members don't count: some have forgotten them already. */
+  /** Adds a member to the hashes, or removes it again. Dead members are excluded, as some processes may have forgotten them. */
   public toggle (news: IMemberNews): void {
     if (news.state === 'dead') return
     const bucket = bucketOf(news.processId)
--- a/src/peer/MemberProber.ts
+++ b/src/peer/MemberProber.ts
@@ -54,7 +54,7 @@
       member.processId !== this._selfId && this._hub.link(member.processId) === undefined)
     const dead = unlinked.filter((member) => member.state === 'dead')
     const others = unlinked.filter((member) => member.state !== 'dead')
-    const deadOrForgotten = [...dead, ...this._membership.inStoreButDead()]
+    const deadOrForgotten = [...dead, ...this._membership.deadMembersInStore()]
     const [first, second] = this._isProbingDead ? [deadOrForgotten, others] : [others, deadOrForgotten]
     return first.length > 0 ? first : second
   }
--- a/src/peer/MembershipAgent.ts
+++ b/src/peer/MembershipAgent.ts
@@ -112,7 +112,7 @@
   public leave (): void {
     this._membership.leave()
     for (const link of this._hub.links()) {
-      const cast = this._membership.castTo(link.peer.processId)
+      const cast = this._membership.createCastFor(link.peer.processId)
       if (cast !== undefined) link.cast('members', cast)
     }
   }
