--- a/src/common/protocol/Shapes.ts
+++ b/src/common/protocol/Shapes.ts
@@ -1,9 +1,9 @@
 /**
- * The shapes of all messages between processes, checked where they come in. A peer that holds the key may still run
- * faulty code: without the check one would see type errors deep in a decision, or a NaN in a ledger, far from their
- * cause. The checks give bounds of kind and size; what a value means is checked by whoever uses it.
+ * The shapes of all messages between processes. Each message is validated when it is received. A peer that has the key
+ * may still run faulty code. Without validation this would cause type errors deep in a decision, or a NaN in a ledger,
+ * far from the origin. The shapes limit types and sizes; the code that uses a value checks its meaning.
  *
- * The compiler holds these shapes against the types; a checked message is passed on as it came.
+ * The compiler checks that the shapes match the types. A valid message is passed on unchanged.
  */
 
 import * as z from 'zod'
@@ -12,7 +12,7 @@
 
 const MAX_ID_LENGTH = 512
 const MAX_TEXT_LENGTH = 65_536
-/** A caller's job; its body is bounded before it becomes a record. */
+/** Limit on the record of a caller's job. The size of the job's body is checked before the record is built. */
 const MAX_RECORD_LENGTH = 1_048_576
 
 const id = z.string().max(MAX_ID_LENGTH)
@@ -59,7 +59,7 @@
 })
 
 const ownerRecord = z.object({ processId: id, incarnation: count, peerUrl: id, revision: count })
-const offer = z.object({ isWilling: z.boolean(), yieldMs: amount, peerUrl: text })
+const offerReply = z.object({ isWilling: z.boolean(), yieldMs: amount, peerUrl: text })
 const jobRef = z.object({ jobId: id })
 const claimRequest = z.object({ idShard: id, claimKey: id, attemptId: id, holder: id, ageMs: durationMs })
 const notOwner = z.object({ decision: z.literal('notOwner') })
@@ -91,7 +91,7 @@
   reason: text.exactOptional(),
   tasks: z.array(taskPlace)
 })
-const ofJob = z.object({ jobId: id })
+const jobIdRequest = z.object({ jobId: id })
 const jobReply = z.object({ status: jobStatus.exactOptional(), owner: z.boolean() })
 const placeTask = z.object({
   jobId: id,
@@ -119,16 +119,16 @@
   changedAt: z.number()
 })
 
-/** What is free may be below zero, when tasks use more than they declared. */
-const free = z.object({ cores: z.number(), memoryBytes: z.number(), accelerators: z.number() })
+/** Free resources may be negative if tasks use more than they declared. */
+const freeResources = z.object({ cores: z.number(), memoryBytes: z.number(), accelerators: z.number() })
 const shardLoad = z.object({
   shardId: id,
   kind: z.enum(['runners', 'workers', 'ids']),
   epoch: count,
   freeSlots: z.number(),
   totalSlots: z.number(),
-  free,
-  largestFree: free
+  free: freeResources,
+  largestFree: freeResources
 })
 const loadSummary = z.object({
   ...identity,
@@ -153,38 +153,38 @@
   listedBuckets: z.array(count).exactOptional()
 })
 
-/** The ask and the reply of each call. */
+/** The request and the reply of each call. */
 export const callShapes = {
-  submit: { ask: submitRequest, reply: finalAnswer },
-  cancel: { ask: z.object({ attemptId: id }), reply: z.object({ cancelled: z.boolean() }) },
-  claim: { ask: claimRequest, reply: claimReply },
-  block: { ask: claimRequest, reply: blockReply },
-  release: { ask: claimRequest, reply: z.object({ released: z.boolean() }) },
-  outcomeOf: { ask: z.object({ attemptId: id, waitMs: durationMs }), reply: finalAnswer },
-  submitJob: { ask: jobSpec, reply: finalAnswer },
-  jobStatus: { ask: ofJob, reply: jobReply },
-  cancelJob: { ask: ofJob, reply: jobReply },
-  placeTask: { ask: placeTask, reply: placeReply },
-  placeGroup: { ask: z.object({ jobId: id, tasks: z.array(placeTask) }), reply: placeReply },
+  submit: { request: submitRequest, reply: finalAnswer },
+  cancel: { request: z.object({ attemptId: id }), reply: z.object({ cancelled: z.boolean() }) },
+  claim: { request: claimRequest, reply: claimReply },
+  block: { request: claimRequest, reply: blockReply },
+  release: { request: claimRequest, reply: z.object({ released: z.boolean() }) },
+  outcomeOf: { request: z.object({ attemptId: id, waitMs: durationMs }), reply: finalAnswer },
+  submitJob: { request: jobSpec, reply: finalAnswer },
+  jobStatus: { request: jobIdRequest, reply: jobReply },
+  cancelJob: { request: jobIdRequest, reply: jobReply },
+  placeTask: { request: placeTask, reply: placeReply },
+  placeGroup: { request: z.object({ jobId: id, tasks: z.array(placeTask) }), reply: placeReply },
   cancelTask: {
-    ask: z.object({ jobId: id, taskId: id, attempt: count.exactOptional(), onlyIfQueued: z.boolean().exactOptional() }),
+    request: z.object({ jobId: id, taskId: id, attempt: count.exactOptional(), onlyIfQueued: z.boolean().exactOptional() }),
     reply: z.object({ known: z.boolean() })
   },
   tasksOf: {
-    ask: z.object({ idShard: id, ownerEpoch: count, jobOwner: id, endedOf: z.array(id).exactOptional() }),
+    request: z.object({ idShard: id, ownerEpoch: count, jobOwner: id, endedOf: z.array(id).exactOptional() }),
     reply: z.object({ settledShards: z.array(id), tasks: z.array(taskUpdate) })
   },
   reserve: {
-    ask: z.object({ jobId: id, tasks: z.array(placeTask), expiresMs: durationMs, tryNumber: count }),
+    request: z.object({ jobId: id, tasks: z.array(placeTask), expiresMs: durationMs, tryNumber: count }),
     reply: z.object({ reservedTaskIds: z.array(id) })
   },
-  startReserved: { ask: reservationRef, reply: z.object({ started: z.boolean() }) },
-  dropReservation: { ask: reservationRef, reply: z.object({ dropped: z.boolean() }) },
-  configSince: { ask: z.object({ digest: id }), reply: z.object({ entries: z.array(configEntry) }) },
-  dump: { ask: z.object({ section: id.exactOptional() }), reply: z.object({ json: z.string() }) },
-  drain: { ask: z.object({ hostId: id.exactOptional() }), reply: z.object({ draining: z.boolean() }) },
+  startReserved: { request: reservationRef, reply: z.object({ started: z.boolean() }) },
+  dropReservation: { request: reservationRef, reply: z.object({ dropped: z.boolean() }) },
+  configSince: { request: z.object({ digest: id }), reply: z.object({ entries: z.array(configEntry) }) },
+  dump: { request: z.object({ section: id.exactOptional() }), reply: z.object({ json: z.string() }) },
+  drain: { request: z.object({ hostId: id.exactOptional() }), reply: z.object({ draining: z.boolean() }) },
   cellSubmit: {
-    ask: z.object({ jobId: id, queue: id, record: z.string().max(MAX_RECORD_LENGTH), ageMs: amount, configVersion: count }),
+    request: z.object({ jobId: id, queue: id, record: z.string().max(MAX_RECORD_LENGTH), ageMs: amount, configVersion: count }),
     reply: z.object({
       kind: z.enum(['accepted', 'refused', 'noQueue', 'invalid', 'inDoubt', 'notOwner']),
       reason: text.exactOptional(),
@@ -193,28 +193,28 @@
     })
   },
   cellState: {
-    ask: jobRef,
+    request: jobRef,
     reply: z.object({
       kind: z.enum(['known', 'unknownJob', 'unavailable']),
       phase: z.enum(['queued', 'running', 'completed', 'failed', 'cancelled']).exactOptional()
     })
   },
-  cellCancel: { ask: jobRef, reply: z.object({ result: z.enum(['cancelled', 'unknownJob', 'unavailable']) }) },
-  cellWaiting: { ask: z.object({ queue: id }), reply: z.object({ count: count.exactOptional() }) },
+  cellCancel: { request: jobRef, reply: z.object({ result: z.enum(['cancelled', 'unknownJob', 'unavailable']) }) },
+  cellWaiting: { request: z.object({ queue: id }), reply: z.object({ count: count.exactOptional() }) },
   cellAdvise: {
-    ask: z.object({ jobId: id, step: count, hostIds: z.array(id), timeoutMs: amount }),
+    request: z.object({ jobId: id, step: count, hostIds: z.array(id), timeoutMs: amount }),
     reply: z.object({
       kind: z.enum(['advised', 'busy', 'failed']),
       allowed: z.array(z.object({ hostId: id, ticket: id })).exactOptional()
     })
   },
-  cellOffer: { ask: ownerRecord, reply: offer },
-  cellRelief: { ask: ownerRecord, reply: offer },
-  cellReach: { ask: z.object({}), reply: z.object({ isReached: z.boolean() }) },
-  cellPing: { ask: z.object({}), reply: z.object({}) },
-  cellWitness: { ask: z.object({ processId: id, waitMs: amount }), reply: z.object({ isReached: z.boolean() }) },
-  cellLinks: { ask: z.object({}), reply: z.object({ processIds: z.array(id) }) },
-  cellTakeOver: { ask: ownerRecord, reply: z.object({ isOwner: z.boolean() }) }
+  cellOffer: { request: ownerRecord, reply: offerReply },
+  cellRelief: { request: ownerRecord, reply: offerReply },
+  cellReach: { request: z.object({}), reply: z.object({ isReached: z.boolean() }) },
+  cellPing: { request: z.object({}), reply: z.object({}) },
+  cellWitness: { request: z.object({ processId: id, waitMs: amount }), reply: z.object({ isReached: z.boolean() }) },
+  cellLinks: { request: z.object({}), reply: z.object({ processIds: z.array(id) }) },
+  cellTakeOver: { request: ownerRecord, reply: z.object({ isOwner: z.boolean() }) }
 }
 
 /** The body of each cast. */
@@ -228,20 +228,20 @@
 }
 
 type Shape = z.ZodType<unknown>
-type Frozen<T> = T extends Uint8Array ? T : T extends object ? { readonly [K in keyof T]: Frozen<T[K]> } : T
-type Passed<S extends Shape> = Frozen<z.output<S>>
-/** The names of messages that their type allows and their shape would refuse, or the other way round. */
-type CallDrift = { [N in PeerCallName]:
-  [IPeerCalls[N]['ask'], IPeerCalls[N]['reply']] extends [Passed<typeof callShapes[N]['ask']>, Passed<typeof callShapes[N]['reply']>] ? never : N
+type DeepReadonly<T> = T extends Uint8Array ? T : T extends object ? { readonly [K in keyof T]: DeepReadonly<T[K]> } : T
+type ShapeOutput<S extends Shape> = DeepReadonly<z.output<S>>
+/** The names of the calls whose types do not match their shapes. */
+type MismatchedCalls = { [N in PeerCallName]:
+  [IPeerCalls[N]['ask'], IPeerCalls[N]['reply']] extends [ShapeOutput<typeof callShapes[N]['request']>, ShapeOutput<typeof callShapes[N]['reply']>] ? never : N
 }[PeerCallName]
-type CastDrift = { [N in PeerCastName]: IPeerCasts[N] extends Passed<typeof castShapes[N]> ? never : N }[PeerCastName]
-type NoDrift<T extends never> = T
-/** Fails to compile when a type changes and its shape does not. */
-export type ShapesFollowTypes = NoDrift<CallDrift | CastDrift>
+type MismatchedCasts = { [N in PeerCastName]: IPeerCasts[N] extends ShapeOutput<typeof castShapes[N]> ? never : N }[PeerCastName]
+type AssertNever<T extends never> = T
+/** Fails to compile if a type has changed and its shape has not. */
+export type ShapesFollowTypes = AssertNever<MismatchedCalls | MismatchedCasts>
 
-/** The shape of a call's ask, or nothing for an unknown name. */
-export function askShape (name: string): Shape | undefined {
-  return Object.hasOwn(callShapes, name) ? callShapes[name as PeerCallName].ask : undefined
+/** The shape of a call's request, or undefined for an unknown name. */
+export function requestShape (name: string): Shape | undefined {
+  return Object.hasOwn(callShapes, name) ? callShapes[name as PeerCallName].request : undefined
 }
 
 export function replyShape (name: string): Shape | undefined {
@@ -252,8 +252,8 @@
   return Object.hasOwn(castShapes, name) ? castShapes[name as PeerCastName] : undefined
 }
 
-/** Says where a value has not the shape, in one line. */
-export function misfit (shape: Shape, value: unknown): string | undefined {
+/** Describes in one line where a value does not match a shape; undefined if it matches. */
+export function findShapeError (shape: Shape, value: unknown): string | undefined {
   const parsed = shape.safeParse(value)
   if (parsed.success) return undefined
   const [issue] = parsed.error.issues
--- a/src/common/protocol/Types.ts
+++ b/src/common/protocol/Types.ts
@@ -1,6 +1,6 @@
 /**
- * What the system's own processes say to each other. Each method is a call with one reply or a cast without; the
- * links in `src/peer` carry them and know nothing of their meaning.
+ * The messages between the processes of a cell. Each message is either a call, which has one reply, or a cast, which
+ * has none. The links in `src/peer` transport the messages and do not depend on their meaning.
  */
 
 import type {
@@ -11,21 +11,21 @@
 
 export interface ISubmitRequest {
   /**
-   * Unique for each attempt of a gateway to hand the request over. A claim is held by an attempt, and a gateway that
-   * lost the link can have the attempt blocked, after which it can never run.
+   * Unique for each attempt of a gateway to pass the request on. A claim is held by an attempt. A gateway that has lost
+   * the link can have the attempt blocked, so that it can never run.
    */
   readonly attemptId: string
   readonly service: string
   readonly caller: string
   readonly requestId: string
   readonly idempotent: boolean
-  /** What is left until the deadline when it was sent; no clocks are compared. */
+  /** Time left until the deadline when this message was sent. A duration, as the clocks of two processes may differ. */
   readonly remainingMs: number
-  /** How long ago the gateway took the request, when it was sent; no clocks are compared. */
+  /** Time from the arrival of the request at the gateway to the sending of this message; a duration for the same reason. */
   readonly ageMs: number
   readonly contentType: string
   readonly body: Uint8Array
-  /** Times that it has been moved between schedulers. */
+  /** How often the request has been moved between schedulers. */
   readonly hops: number
 }
 
@@ -35,20 +35,20 @@
   /** Hash of caller and request id. */
   readonly claimKey: string
   readonly attemptId: string
-  /** The process that will dispatch, and that keeps the answer for repeats. */
+  /** The process that will dispatch the request, and that keeps the answer for repeated requests. */
   readonly holder: string
   /**
-   * How long ago the attempt began, in milliseconds, counted by the asking process. Claims and blocks are kept for a
-   * limited time only, so an attempt older than `MAX_ATTEMPT_AGE_MS` gets no claim.
+   * Age of the attempt in milliseconds, measured by the requesting process. Claims and blocks are kept for a limited
+   * time only, so an attempt that is older than `MAX_ATTEMPT_AGE_MS` gets no claim.
    */
   readonly ageMs: number
 }
 
 export type ClaimReply =
   | { readonly decision: 'granted' }
-  /** Another attempt holds it: ask its holder for the outcome. */
+  /** Another attempt holds the claim. Its holder knows the outcome. */
   | { readonly decision: 'duplicate', readonly attemptId: string, readonly holder: string }
-  /** This attempt was blocked or its claim released: it must not dispatch. */
+  /** This attempt was blocked or its claim was released. The request must not be dispatched. */
   | { readonly decision: 'blocked' }
   | { readonly decision: 'notOwner' }
   | { readonly decision: 'unavailable', readonly retryAfterMs: number }
@@ -68,18 +68,18 @@
   readonly freeSlots: number
   readonly totalSlots: number
   readonly free: IResources
-  /** The largest free place on one host of the shard. */
+  /** The largest amount of resources that is free on a single host of the shard. */
   readonly largestFree: IResources
 }
 
-/** What a scheduler tells those that route to it, about once a second and when it changes a lot. */
+/** The load of a scheduler. It is sent to the processes that route to the scheduler, about once a second and after large changes. */
 export interface ILoadSummary extends ILocation {
   readonly processId: string
   readonly incarnation: number
   readonly draining: boolean
   readonly storeReachable: boolean
   readonly shards: readonly IShardLoad[]
-  /** Expected wait of a new request by priority class, in milliseconds. */
+  /** Expected waiting time of a new request by priority class, in milliseconds. */
   readonly expectedWaitMs: Readonly<Record<'urgent' | 'normal' | 'patient', number>>
   readonly queued: number
 }
@@ -88,47 +88,47 @@
 
 export interface IMember extends IProcessIdentity {
   readonly role: 'gateway' | 'scheduler'
-  /** `ws://ip:port` of its peer listener. */
+  /** Address of the member's peer listener, as `ws://ip:port`. */
   readonly peerUrl: string
-  /** `http://ip:port` of its operator listener. */
+  /** Address of the member's operator listener, as `http://ip:port`. */
   readonly operatorUrl: string
   readonly state: MemberState
 }
 
 /**
- * What is said of a member's state. Of two statements about a process the one with the higher incarnation holds, then
- * the one with the higher sequence, then the graver state.
+ * A statement about a member's state. Of two statements about a process, the one with the higher incarnation takes
+ * precedence, then the one with the higher sequence, then the one whose state has the higher rank (see `Precedence.ts`).
  */
 export interface IMemberNews {
   readonly processId: string
   readonly incarnation: number
-  /** Raised by the member alone, to refute what others say of it and to say that it leaves. */
+  /** Raised only by the member itself, to refute a statement of others or to announce that the member is leaving. */
   readonly sequence: number
   readonly state: MemberState
 }
 
-/** A member with the sequence of its state; the rest never changes within an incarnation. */
+/** A member with the sequence of its state. All other fields are constant within an incarnation. */
 export interface IMemberRecord extends IMember, IMemberNews {}
 
-/** Membership as peers pass it on: changes first, whole records on demand, digests to find what was missed. */
+/** Membership gossip between peers: state changes, full records on request, and digests to find missed changes. */
 export interface IMembersCast {
   readonly news: readonly IMemberNews[]
-  /** Whole records that the receiver asked for, or the sender's own. */
+  /** Full records that the receiver has requested, or the record of the sender. */
   readonly records?: readonly IMemberRecord[]
-  /** Processes whose records the sender lacks. */
+  /** Processes whose records the sender requests. */
   readonly wanted?: readonly string[]
-  /** Hash of the sender's view of all members not dead. */
+  /** Hash of the sender's view of all members that are not dead. */
   readonly viewHash?: number
-  /** The same by bucket of process ids, when two views were found to differ. */
+  /** The same hash for each bucket of process ids, sent if the two views differ. */
   readonly bucketHashes?: readonly number[]
-  /** Buckets of which `news` holds every member that the sender knows. */
+  /** Buckets for which `news` contains all members that the sender knows. */
   readonly listedBuckets?: readonly number[]
 }
 
 export interface ITaskSpec {
   readonly taskId: string
   readonly resources: IResources
-  /** Expected run time in milliseconds, as declared; absent for a long-running service. */
+  /** Declared run time in milliseconds; undefined for a long-running service. */
   readonly runMs?: number
 }
 
@@ -138,7 +138,7 @@
   readonly jobId: string
   readonly service: string
   readonly caller: string
-  /** Restart its tasks whenever they end or their host dies, until cancelled. */
+  /** Whether its tasks are restarted whenever they end or their host is lost, until the job is cancelled. */
   readonly longRunning: boolean
   readonly tasks: readonly ITaskSpec[]
 }
@@ -147,8 +147,8 @@
   readonly taskId: string
   readonly attempt: number
   /**
-   * `stopped`: this attempt is over without a result, or will never run. `unsure`: its host has changed hands or can't
-   * be asked, so that it may still run.
+   * `stopped`: the attempt has ended without a result, or will never run. `unsure`: the attempt may still run, as its
+   * host has another owner now or does not respond.
    */
   readonly state: 'queued' | 'reserved' | 'running' | 'unsure' | 'succeeded' | 'failed' | 'stopped'
   readonly hostId?: string
@@ -169,22 +169,22 @@
   readonly place: ITaskPlace
 }
 
-/** Asks the addressed scheduler to place one task on any worker that it owns. */
+/** Requests that a scheduler place one task on any of its workers. */
 export interface IPlaceTask {
   readonly jobId: string
   readonly service: string
   readonly caller: string
   readonly task: ITaskSpec
   readonly attempt: number
-  /** The process that hears what becomes of it. */
+  /** The process that receives the updates about the task. */
   readonly jobOwner: string
-  /** The epoch under which it owns the job's id shard: a scheduler refuses one older than it has heard of. */
+  /** The epoch of the job owner for the job's id shard. A scheduler refuses an epoch that is older than one it has received. */
   readonly ownerEpoch?: number
   /** Hosts on which an attempt of this task has failed. */
   readonly avoidHostIds?: readonly string[]
 }
 
-/** Asks the addressed scheduler to start these tasks together on its workers, when it has room for all of them. */
+/** Requests that a scheduler start these tasks together on its workers, if there is room for all of them. */
 export interface IPlaceGroup {
   readonly jobId: string
   readonly tasks: readonly IPlaceTask[]
@@ -196,56 +196,56 @@
   readonly retryAfterMs?: number
 }
 
-/** Asks for all tasks of one id shard's jobs that the addressed scheduler holds. */
+/** Requests all tasks that a scheduler holds of the jobs of one id shard. */
 export interface ITasksOfAsk {
   readonly idShard: string
-  /** The epoch of the asking owner: from now on commands of an older one are refused. */
+  /** The epoch of the requesting owner. From now on commands with an older epoch are refused. */
   readonly ownerEpoch: number
-  /** The asking process, which from now on hears what becomes of them. */
+  /** The requesting process, which from now on receives the updates about these tasks. */
   readonly jobOwner: string
-  /** Of these jobs it also tells tasks that have ended lately; absent: of all. */
+  /** Jobs whose recently ended tasks are included in the reply. If undefined, they are included for all jobs. */
   readonly endedOf?: readonly string[]
 }
 
 export interface ITasksOfReply {
-  /** Worker shards that it owns and whose hosts have all told it what they run, or are gone. */
+  /** Worker shards that the scheduler owns and in which each host has either reported its tasks or is gone. */
   readonly settledShards: readonly string[]
   readonly tasks: readonly ITaskUpdate[]
 }
 
-/** Asks the addressed scheduler to hold places for tasks of an all-at-once job, without starting them. */
+/** Requests that a scheduler reserve resources for tasks of an all-at-once job, without starting the tasks. */
 export interface IReserveRequest {
   readonly jobId: string
   readonly tasks: readonly IPlaceTask[]
-  /** The reservation goes by itself after this time. */
+  /** Time after which the reservation expires. */
   readonly expiresMs: number
-  /** Rises with each try of the job; a scheduler holds places for one try and acts on no command of an earlier one. */
+  /** Increases with each try of the job. A scheduler keeps the reservation of one try and ignores commands of earlier tries. */
   readonly tryNumber: number
 }
 
-/** Names a reservation: of a job, and of which try. */
+/** Identifies a reservation by its job and try. */
 export interface IReservationRef {
   readonly jobId: string
   readonly tryNumber: number
 }
 
 export interface IReserveReply {
-  /** The tasks that got a place; all of them or as many as fit. */
+  /** The tasks for which resources are reserved: all of them, or as many as fit. */
   readonly reservedTaskIds: readonly string[]
 }
 
 export interface ICancelTask {
   readonly jobId: string
   readonly taskId: string
-  /** Only this attempt; absent: whichever is held. */
+  /** Cancels only this attempt. If undefined, any attempt is cancelled. */
   readonly attempt?: number
-  /** Leaves it alone once it has been sent to a host; to move queued work. */
+  /** Cancels the task only if it has not been sent to a host yet. Used to move queued work. */
   readonly onlyIfQueued?: boolean
 }
 
-/** A job on its way from the gateway that took it to the owner of the cell. */
+/** A job that a gateway has received and sends to the owner of the cell. */
 export interface ICellSubmission extends ISubmission {
-  /** The configuration under which the gateway took it: the owner acts on none that is older. */
+  /** The version of the configuration that the gateway used. The owner must have this version or a newer one before it handles the job. */
   readonly configVersion: number
 }
 
@@ -261,7 +261,7 @@
   readonly phase?: JobPhase
 }
 
-/** Asks a machine to ask the advice service, which handles the calls of each machine one after the other. */
+/** Requests that a machine call the advice service, which handles the calls of each machine one after the other. */
 export interface ICellAdviceAsk extends IAdviceAsk {
   readonly timeoutMs: number
 }
@@ -271,7 +271,7 @@
   readonly allowed?: readonly ITicket[]
 }
 
-/** The owner of the cell tells who it is: a process that can't reach the store would not hear of it. */
+/** Announces the owner of the cell. A process that can't reach the store would not learn of the owner otherwise. */
 export interface ICellOwnerCast {
   readonly processId: string
   readonly incarnation: number
@@ -279,30 +279,30 @@
   readonly revision: number
 }
 
-/** Asks a process whether it would take the cell over from this owner, which is about to stop. */
+/** Whether a process is willing to take the cell over from an owner that is about to stop. */
 export interface ICellOfferReply {
   readonly isWilling: boolean
-  /** How long it would let others go first: the further the store and the weaker the machine, the longer. */
+  /** Time for which the process would wait for better candidates. Longer if the store is farther away or the machine is weaker. */
   readonly yieldMs: number
-  /** Where it can be dialled. */
+  /** The address at which the process can be dialled. */
   readonly peerUrl: string
 }
 
-/** The owner tells which process stands by for it, under this ownership. */
+/** Announces the process that is the standby of the owner, for the ownership with this revision. */
 export interface ICellStandbyCast {
   readonly processId: string
   readonly peerUrl: string
   readonly revision: number
 }
 
-/** Calls: a name, what is asked, what is answered. */
+/** The calls by name, each with its request and its reply. */
 export interface IPeerCalls {
   readonly submit: { readonly ask: ISubmitRequest, readonly reply: IFinalAnswer }
   readonly cancel: { readonly ask: { readonly attemptId: string }, readonly reply: { readonly cancelled: boolean } }
   readonly claim: { readonly ask: IClaimRequest, readonly reply: ClaimReply }
   readonly block: { readonly ask: IClaimRequest, readonly reply: BlockReply }
   readonly release: { readonly ask: IClaimRequest, readonly reply: { readonly released: boolean } }
-  /** Waits for the final answer of an attempt that this process holds. */
+  /** Waits for the final answer of an attempt that the called process holds. */
   readonly outcomeOf: { readonly ask: { readonly attemptId: string, readonly waitMs: number }, readonly reply: IFinalAnswer }
   readonly submitJob: { readonly ask: IJobSpec, readonly reply: IFinalAnswer }
   readonly jobStatus: { readonly ask: { readonly jobId: string }, readonly reply: { readonly status?: IJobStatus, readonly owner: boolean } }
@@ -323,21 +323,21 @@
   readonly cellWaiting: { readonly ask: { readonly queue: string }, readonly reply: { readonly count?: number } }
   readonly cellAdvise: { readonly ask: ICellAdviceAsk, readonly reply: ICellAdviceReply }
   readonly cellOffer: { readonly ask: ICellOwnerCast, readonly reply: ICellOfferReply }
-  /** The same of a process that tries the store first: it is willing only if the store answers. */
+  /** Like `cellOffer`, but the called process tries to reach the store first and is willing only if the store answers. */
   readonly cellRelief: { readonly ask: ICellOwnerCast, readonly reply: ICellOfferReply }
-  /** Asks the owner whether it reaches the store now: it tries. */
+  /** The owner tries to reach the store and replies whether it succeeded. */
   readonly cellReach: { readonly ask: Readonly<Record<string, never>>, readonly reply: { readonly isReached: boolean } }
-  /** Answered at once by any process. */
+  /** Any process replies at once. */
   readonly cellPing: { readonly ask: Readonly<Record<string, never>>, readonly reply: Readonly<Record<string, never>> }
-  /** Asks a process whether it reaches another one now: it tries, for `waitMs`. */
+  /** The called process tries for up to `waitMs` to reach another process and replies whether it succeeded. */
   readonly cellWitness: { readonly ask: { readonly processId: string, readonly waitMs: number }, readonly reply: { readonly isReached: boolean } }
-  /** Asks a process which others it has a link to. */
+  /** The processes that the called process has a link to. */
   readonly cellLinks: { readonly ask: Readonly<Record<string, never>>, readonly reply: { readonly processIds: readonly string[] } }
-  /** Has a process take the cell over from this owner; answered when that is done, or has failed. */
+  /** The called process takes the cell over from this owner. It replies when this has succeeded or failed. */
   readonly cellTakeOver: { readonly ask: ICellOwnerCast, readonly reply: { readonly isOwner: boolean } }
 }
 
-/** Casts: news that needs no reply. */
+/** The casts by name, with their bodies. */
 export interface IPeerCasts {
   readonly loadSummary: ILoadSummary
   readonly configEntries: { readonly entries: readonly IConfigEntry[] }
--- a/src/peer/CallTable.ts
+++ b/src/peer/CallTable.ts
@@ -7,7 +7,7 @@
 
 import type { Result } from 'neverthrow'
 import { AmbiguousError, RefusedError, UnreachableError } from '../common/Errors.js'
-import { misfit, replyShape } from '../common/protocol/Shapes.js'
+import { findShapeError, replyShape } from '../common/protocol/Shapes.js'
 import type { IDisposable, ITimers } from '../common/Types.js'
 import { FailureKind } from './Frames.js'
 import type { IFailureFrame } from './Frames.js'
@@ -72,7 +72,7 @@
   public completeCall (callId: number, reply: unknown): boolean {
     return this._endCall(callId, ({ name, step }) => {
       const shape = replyShape(name)
-      const fault = shape === undefined ? undefined : misfit(shape, reply)
+      const fault = shape === undefined ? undefined : findShapeError(shape, reply)
       if (fault === undefined) return ok(reply)
       this._counters.misshapenMessages += 1
       return err(new AmbiguousError(step, this._peer, `malformed reply: ${fault}`))
--- a/src/peer/Frames.test.ts
+++ b/src/peer/Frames.test.ts
@@ -23,9 +23,9 @@
   fc.assert(fc.property(fc.array(fc.array(body, { minLength: 1 })), (packets) => {
     const [sender, receiver] = [newCodec(), newCodec()]
     for (const bodies of packets) {
-      const frames = bodies.map((ask, index) => sender.encode(frameFields.call(index + 1, 'drain', ask))._unsafeUnwrap())
+      const frames = bodies.map((request, index) => sender.encode(frameFields.call(index + 1, 'drain', request))._unsafeUnwrap())
       const received = receiver.decode(Buffer.concat(frames))._unsafeUnwrap()
-      t.deepEqual(received.map((frame) => frame.kind === FrameKind.Call ? plain(frame.ask) : undefined), bodies.map(plain))
+      t.deepEqual(received.map((frame) => frame.kind === FrameKind.Call ? plain(frame.request) : undefined), bodies.map(plain))
     }
   }), { seed: SEED, numRuns: 200 })
 })
@@ -43,7 +43,7 @@
   const [sender, receiver] = [newCodec(200), newCodec(200)]
   t.true(sender.encode(frameFields.call(1, 'cancel', { attemptId: 'x'.repeat(300) })).isErr())
   const frame = sender.encode(frameFields.call(2, 'cancel', { attemptId: 'x' }))._unsafeUnwrap()
-  t.deepEqual(receiver.decode(frame)._unsafeUnwrap(), [{ kind: FrameKind.Call, callId: 2, name: 'cancel', ask: { attemptId: 'x' } }])
+  t.deepEqual(receiver.decode(frame)._unsafeUnwrap(), [{ kind: FrameKind.Call, callId: 2, name: 'cancel', request: { attemptId: 'x' } }])
 })
 
 test('decoding arbitrary bytes and arbitrary msgpack returns an error or frames and never throws', (t) => {
--- a/src/peer/Frames.ts
+++ b/src/peer/Frames.ts
@@ -28,7 +28,7 @@
   HandlerFailed
 }
 
-export interface ICallFrame { readonly kind: FrameKind.Call, readonly callId: number, readonly name: string, readonly ask: unknown }
+export interface ICallFrame { readonly kind: FrameKind.Call, readonly callId: number, readonly name: string, readonly request: unknown }
 export interface IReplyFrame { readonly kind: FrameKind.Reply, readonly callId: number, readonly reply: unknown }
 export interface IFailureFrame {
   readonly kind: FrameKind.Failure
@@ -52,7 +52,7 @@
 
 /** Builds the arrays to encode. The fields of a frame are fixed, so only the message bodies need field names. */
 export const frameFields = {
-  call: (callId: number, name: string, ask: unknown): FrameFields => [FrameKind.Call, callId, name, ask],
+  call: (callId: number, name: string, request: unknown): FrameFields => [FrameKind.Call, callId, name, request],
   reply: (callId: number, reply: unknown): FrameFields => [FrameKind.Reply, callId, reply],
   failure: (callId: number, failure: FailureKind, step: string, peer: string, message: string): FrameFields =>
     [FrameKind.Failure, callId, failure, truncate(step), truncate(peer), truncate(message)],
@@ -139,9 +139,9 @@
 }
 
 function parseCall (fields: FrameFields): ICallFrame | undefined {
-  const [, callId, name, ask] = fields
+  const [, callId, name, request] = fields
   if (fields.length !== 4 || !isCallId(callId) || !isName(name)) return undefined
-  return { kind: FrameKind.Call, callId, name, ask }
+  return { kind: FrameKind.Call, callId, name, request }
 }
 
 function parseReply (fields: FrameFields): IReplyFrame | undefined {
--- a/src/peer/HandlerTable.ts
+++ b/src/peer/HandlerTable.ts
@@ -8,7 +8,7 @@
 import type { IDisposable, IProcessIdentity } from '../common/Types.js'
 import { FailureKind } from './Frames.js'
 
-export type CallHandler = (ask: unknown, from: IProcessIdentity) => Promise<unknown>
+export type CallHandler = (request: unknown, from: IProcessIdentity) => Promise<unknown>
 
 interface IReceivedCast {
   readonly cast: unknown
--- a/src/peer/InboundCalls.ts
+++ b/src/peer/InboundCalls.ts
@@ -2,7 +2,7 @@
  * The calls and casts that a peer sends on one link: runs their handlers and sends the reply or failure of each call.
  */
 
-import { askShape, castShape, misfit } from '../common/protocol/Shapes.js'
+import { requestShape, castShape, findShapeError } from '../common/protocol/Shapes.js'
 import type { IProcessIdentity } from '../common/Types.js'
 import { callStep } from './CallTable.js'
 import { FailureKind, frameFields } from './Frames.js'
@@ -43,7 +43,7 @@
     if (this.handlerCount >= this._context.options.maxCallsInFlight) return this._fail(callId, FailureKind.NotRun, name, 'too many calls in flight')
     const handler = this._context.handlers.getHandler(name)
     if (handler === undefined) return this._fail(callId, FailureKind.Refused, name, 'no handler')
-    const shapeError = this._findShapeError(askShape(name), frame.ask)
+    const shapeError = this._findShapeError(requestShape(name), frame.request)
     if (shapeError !== undefined) return this._fail(callId, FailureKind.Refused, name, `malformed request: ${shapeError}`)
     this.handlerCount += 1
     this._runHandler(handler, frame)
@@ -58,9 +58,9 @@
     }
   }
 
-  private async _runHandler (handler: CallHandler, { callId, name, ask }: ICallFrame): Promise<void> {
+  private async _runHandler (handler: CallHandler, { callId, name, request }: ICallFrame): Promise<void> {
     try {
-      const sendError = this._send(frameFields.reply(callId, await handler(ask, this._peer)))
+      const sendError = this._send(frameFields.reply(callId, await handler(request, this._peer)))
       if (sendError !== undefined) this._fail(callId, FailureKind.HandlerFailed, name, `reply: ${sendError}`)
     } catch (error) {
       this._onHandlerError(callId, name, error)
@@ -79,8 +79,8 @@
     this._send(frameFields.failure(callId, failure, callStep(name), this._context.selfId, message))
   }
 
-  private _findShapeError (shape: ReturnType<typeof askShape>, value: unknown): string | undefined {
-    const fault = shape === undefined ? 'unknown name' : misfit(shape, value)
+  private _findShapeError (shape: ReturnType<typeof requestShape>, value: unknown): string | undefined {
+    const fault = shape === undefined ? 'unknown name' : findShapeError(shape, value)
     if (fault !== undefined) this._context.counters.misshapenMessages += 1
     return fault
   }
--- a/src/peer/PeerHub.limits.test.ts
+++ b/src/peer/PeerHub.limits.test.ts
@@ -115,8 +115,8 @@
   const { hub: a, url } = await startHub(identity('a'))
   const { hub: b } = await startHub(identity('b'))
   const handled: unknown[] = []
-  a.handle('cancel', async (ask) => {
-    handled.push(ask)
+  a.handle('cancel', async (request) => {
+    handled.push(request)
     return { cancelled: true }
   })
   a.listen('members', (cast) => handled.push(cast))
@@ -139,7 +139,7 @@
   await until(() => hub.link('z') !== undefined)
   socket.pause()
   const link = hub.link('z') as IPeerLink
-  const ask = {
+  const request = {
     attemptId: 'x',
     service: 's',
     caller: 'c',
@@ -153,7 +153,7 @@
   }
   let refused: unknown
   for (let sent = 0; sent < 2_000 && refused === undefined; sent++) {
-    const call = link.call('submit', ask, 60_000)
+    const call = link.call('submit', request, 60_000)
     await Promise.race([call.mapErr((error) => { refused = error }), new Promise((resolve) => { setImmediate(resolve) })])
   }
   t.true(refused instanceof UnreachableError)
--- a/src/peer/PeerHub.test.ts
+++ b/src/peer/PeerHub.test.ts
@@ -58,8 +58,8 @@
 test('calls answered out of order each receive their own reply, and casts are delivered', async (t) => {
   const pair = await linkedPair()
   const waiting = new Map<string, () => void>()
-  pair.b.handle('drain', async (ask) => {
-    const hostId = String(ask.hostId)
+  pair.b.handle('drain', async (request) => {
+    const hostId = String(request.hostId)
     await new Promise<void>((resolve) => { waiting.set(hostId, resolve) })
     return { draining: hostId === 'second' }
   })
@@ -81,8 +81,8 @@
 
 test('a call ends with the error that tells whether it may have taken effect', async (t) => {
   const pair = await linkedPair({ maxFrameBytes: 10_000 })
-  pair.b.handle('drain', async (ask) => {
-    if (ask.hostId === 'refuse') throw new RefusedError('drain', 'h1', 'no such host')
+  pair.b.handle('drain', async (request) => {
+    if (request.hostId === 'refuse') throw new RefusedError('drain', 'h1', 'no such host')
     throw new Error('failed half-way')
   })
   pair.b.handle('cancel', never)
--- a/src/peer/PeerHub.ts
+++ b/src/peer/PeerHub.ts
@@ -89,8 +89,8 @@
   }
 
   public handle<N extends PeerCallName> (
-    name: N, handler: (ask: IPeerCalls[N]['ask'], from: IProcessIdentity) => Promise<IPeerCalls[N]['reply']>): void {
-    this._handlers.setHandler(name, (ask, from) => handler(ask as IPeerCalls[N]['ask'], from))
+    name: N, handler: (request: IPeerCalls[N]['ask'], from: IProcessIdentity) => Promise<IPeerCalls[N]['reply']>): void {
+    this._handlers.setHandler(name, (request, from) => handler(request as IPeerCalls[N]['ask'], from))
   }
 
   public listen<N extends PeerCastName> (name: N, listener: (cast: IPeerCasts[N], from: IProcessIdentity) => void): IDisposable {
--- a/src/peer/PeerLink.ts
+++ b/src/peer/PeerLink.ts
@@ -79,11 +79,11 @@
     return this._calls.size + this._inbound.handlerCount
   }
 
-  public call<N extends PeerCallName> (name: N, ask: IPeerCalls[N]['ask'], timeoutMs: number):
+  public call<N extends PeerCallName> (name: N, request: IPeerCalls[N]['ask'], timeoutMs: number):
   ResultAsync<IPeerCalls[N]['reply'], PeerError> {
-    if (this._successor !== undefined) return this._successor.call(name, ask, timeoutMs)
+    if (this._successor !== undefined) return this._successor.call(name, request, timeoutMs)
     const step = callStep(name)
-    const refusal = this._findCallRefusal() ?? this._sender.enqueue(frameFields.call(this._calls.nextId, name, ask))
+    const refusal = this._findCallRefusal() ?? this._sender.enqueue(frameFields.call(this._calls.nextId, name, request))
     if (refusal !== undefined) {
       this._context.counters.refusedCalls += 1
       return errAsync(new UnreachableError(step, this.peer.processId, refusal))
--- a/src/peer/Types.ts
+++ b/src/peer/Types.ts
@@ -25,7 +25,7 @@
 export interface IPeerHandlers {
   /** Sets the handler of a call. A call without a handler is refused. */
   handle<N extends PeerCallName> (
-    name: N, handler: (ask: IPeerCalls[N]['ask'], from: IProcessIdentity) => Promise<IPeerCalls[N]['reply']>): void
+    name: N, handler: (request: IPeerCalls[N]['ask'], from: IProcessIdentity) => Promise<IPeerCalls[N]['reply']>): void
   /** Adds a listener for a cast. */
   listen<N extends PeerCastName> (name: N, listener: (cast: IPeerCasts[N], from: IProcessIdentity) => void): IDisposable
 }
@@ -34,7 +34,7 @@
   readonly peer: IProcessIdentity
   /** When something was last received from the peer, by the monotonic clock. */
   readonly lastHeardMs: number
-  call<N extends PeerCallName> (name: N, ask: IPeerCalls[N]['ask'], timeoutMs: number): ResultAsync<IPeerCalls[N]['reply'], PeerError>
+  call<N extends PeerCallName> (name: N, request: IPeerCalls[N]['ask'], timeoutMs: number): ResultAsync<IPeerCalls[N]['reply'], PeerError>
   cast<N extends PeerCastName> (name: N, cast: IPeerCasts[N]): void
   close (): void
 }
