--- a/src/peer/Types.ts
+++ b/src/peer/Types.ts
@@ -44,6 +44,7 @@
   readonly self: IProcessIdentity
   /** Keeps a link to this address until disposed, and dials again with backoff if the link is lost. */
   dial (peerUrl: string, processId: string): IDisposable
+  /** The link to a process, or undefined if there is none. */
   link (processId: string): IPeerLink | undefined
   links (): readonly IPeerLink[]
   onLink (listener: (link: IPeerLink) => void): IDisposable
