--- a/src/common/membership/Options.ts
+++ b/src/common/membership/Options.ts
@@ -11,7 +11,7 @@
   readonly crossRegionChance: number
   /** Delay before a lost link is reported to others, so that a link that returns at once causes no messages. */
   readonly suspectHoldMs: number
-  /** Upper limit of this delay, for a link that is lost repeatedly. */
+  /** Upper limit of the delay, which doubles with each loss of a link that is lost repeatedly. */
   readonly maxSuspectHoldMs: number
   /** Time after which a link counts as steady again. */
   readonly steadyLinkMs: number
--- a/src/common/protocol/Types.ts
+++ b/src/common/protocol/Types.ts
@@ -21,7 +21,7 @@
   readonly idempotent: boolean
   /** Time left until the deadline when this message was sent. A duration, as the clocks of two processes may differ. */
   readonly remainingMs: number
-  /** Time from the arrival of the request at the gateway to the sending of this message; a duration for the same reason. */
+  /** Time from the arrival of the request at the gateway until this message was sent. A duration, as the clocks may differ. */
   readonly ageMs: number
   readonly contentType: string
   readonly body: Uint8Array
--- a/src/peer/CallTable.ts
+++ b/src/peer/CallTable.ts
@@ -72,10 +72,10 @@
   public completeCall (callId: number, reply: unknown): boolean {
     return this._endCall(callId, ({ name, step }) => {
       const shape = replyShape(name)
-      const fault = shape === undefined ? undefined : findShapeError(shape, reply)
-      if (fault === undefined) return ok(reply)
+      const shapeError = shape === undefined ? undefined : findShapeError(shape, reply)
+      if (shapeError === undefined) return ok(reply)
       this._counters.misshapenMessages += 1
-      return err(new AmbiguousError(step, this._peer, `malformed reply: ${fault}`))
+      return err(new AmbiguousError(step, this._peer, `malformed reply: ${shapeError}`))
     })
   }
 
--- a/src/peer/FrameSender.ts
+++ b/src/peer/FrameSender.ts
@@ -51,7 +51,7 @@
     return undefined
   }
 
-  /** Whether a frame was queued since the last call of this method. */
+  /** Returns whether a frame was queued since the last call of this method. */
   public clearHasSent (): boolean {
     const hasSent = this._hasSent
     this._hasSent = false
--- a/src/peer/Frames.test.ts
+++ b/src/peer/Frames.test.ts
@@ -25,16 +25,16 @@
     for (const bodies of packets) {
       const frames = bodies.map((request, index) => sender.encode(frameFields.call(index + 1, 'drain', request))._unsafeUnwrap())
       const received = receiver.decode(Buffer.concat(frames))._unsafeUnwrap()
-      t.deepEqual(received.map((frame) => frame.kind === FrameKind.Call ? plain(frame.request) : undefined), bodies.map(plain))
+      t.deepEqual(received.map((frame) => frame.kind === FrameKind.Call ? toComparable(frame.request) : undefined), bodies.map(toComparable))
     }
   }), { seed: SEED, numRuns: 200 })
 })
 
 /** The content of a value without its prototype and its type of byte array, so that equal content compares equal. */
-function plain (value: unknown): unknown {
+function toComparable (value: unknown): unknown {
   if (typeof value !== 'object' || value === null) return value
-  if (value instanceof Uint8Array || Array.isArray(value)) return [...value as Iterable<unknown>].map(plain)
-  return Object.entries(value).map(([key, item]) => [key, plain(item)])
+  if (value instanceof Uint8Array || Array.isArray(value)) return [...value as Iterable<unknown>].map(toComparable)
+  return Object.entries(value).map(([key, item]) => [key, toComparable(item)])
 }
 
 test('frames after a frame that was too large can still be decoded', (t) => {
--- a/src/peer/Frames.ts
+++ b/src/peer/Frames.ts
@@ -100,18 +100,18 @@
     const scanned = this._scanner.scan(packet)
     if (scanned.isErr()) return err(scanned.error)
     const frames: Frame[] = []
-    let fault: string | undefined
+    let decodeError: string | undefined
     try {
       this._decoder.unpackMultiple(packet, (value: unknown) => {
         const frame = parseFrame(value)
-        if (frame === undefined) fault = 'unknown frame'
+        if (frame === undefined) decodeError = 'unknown frame'
         else frames.push(frame)
-        return fault === undefined
+        return decodeError === undefined
       })
     } catch (error) {
-      fault = String(error)
+      decodeError = String(error)
     }
-    return fault === undefined ? ok(frames) : err(fault)
+    return decodeError === undefined ? ok(frames) : err(decodeError)
   }
 }
 
--- a/src/peer/HandlerTable.ts
+++ b/src/peer/HandlerTable.ts
@@ -43,7 +43,7 @@
 }
 
 /**
- * The failure that the caller is told of, by the error that the handler threw. Only `UnreachableError` and
+ * The kind of failure to report to the caller, by the error that the handler threw. Only `UnreachableError` and
  * `RefusedError` state that nothing took effect. After any other error the caller must assume that the call may have
  * taken effect.
  */
--- a/src/peer/Handshake.test.ts
+++ b/src/peer/Handshake.test.ts
@@ -17,7 +17,7 @@
   return step.bytes
 }
 
-function pair (listenerKey = TEST_KEY): { readonly dialler: Handshake, readonly listener: Handshake } {
+function createPair (listenerKey = TEST_KEY): { readonly dialler: Handshake, readonly listener: Handshake } {
   return { dialler: new Handshake('dialler', identity('a'), TEST_KEY, 'b'), listener: new Handshake('listener', identity('b'), listenerKey) }
 }
 
@@ -26,7 +26,7 @@
 }
 
 test('two processes with the same key learn each other\'s identity', (t) => {
-  const { dialler, listener } = pair()
+  const { dialler, listener } = createPair()
   const challenge = listener.receive(dialler.createHello())
   const answer = dialler.receive(bytesOf(challenge))
   const authenticated = listener.receive(bytesOf(answer))
@@ -37,30 +37,30 @@
 })
 
 test('a different key, a different version and an unexpected process fail', (t) => {
-  const otherKey = pair('another key of this length')
+  const otherKey = createPair('another key of this length')
   t.deepEqual(otherKey.dialler.receive(bytesOf(otherKey.listener.receive(otherKey.dialler.createHello()))), { kind: 'failed', reason: 'wrong key' })
 
-  const { dialler, listener } = pair()
+  const { dialler, listener } = createPair()
   const hello = Buffer.from(JSON.stringify({ ...parse(dialler.createHello()), version: 999 }))
   t.deepEqual(listener.receive(hello), { kind: 'failed', reason: 'protocol version 999' })
 
-  const elsewhere = new Handshake('listener', identity('c'), TEST_KEY)
-  t.deepEqual(dialler.receive(bytesOf(elsewhere.receive(dialler.createHello()))), { kind: 'failed', reason: 'c answered' })
+  const otherListener = new Handshake('listener', identity('c'), TEST_KEY)
+  t.deepEqual(dialler.receive(bytesOf(otherListener.receive(dialler.createHello()))), { kind: 'failed', reason: 'c answered' })
 })
 
 test('a proof that is replayed or reflected is rejected', (t) => {
   // An attacker who can read the network records a handshake and replays it, or sends the listener's own proof back to
   // it. If the listener accepted such a proof, the key would protect nothing.
-  const { dialler, listener } = pair()
+  const { dialler, listener } = createPair()
   const hello = dialler.createHello()
   const challenge = bytesOf(listener.receive(hello))
   const answer = bytesOf(dialler.receive(challenge))
-  const again = new Handshake('listener', identity('b'), TEST_KEY)
-  again.receive(hello)
-  t.is(again.receive(answer).kind, 'failed', 'replayed proof')
-  const mirror = new Handshake('listener', identity('b'), TEST_KEY)
-  const proof = parse(bytesOf(mirror.receive(hello)))['proof']
-  t.is(mirror.receive(Buffer.from(JSON.stringify({ proof }))).kind, 'failed', 'reflected proof')
+  const replayed = new Handshake('listener', identity('b'), TEST_KEY)
+  replayed.receive(hello)
+  t.is(replayed.receive(answer).kind, 'failed', 'replayed proof')
+  const reflected = new Handshake('listener', identity('b'), TEST_KEY)
+  const proof = parse(bytesOf(reflected.receive(hello)))['proof']
+  t.is(reflected.receive(Buffer.from(JSON.stringify({ proof }))).kind, 'failed', 'reflected proof')
 })
 
 test('arbitrary bytes and arbitrary JSON never authenticate and never throw', (t) => {
--- a/src/peer/HeartbeatMonitor.test.ts
+++ b/src/peer/HeartbeatMonitor.test.ts
@@ -11,14 +11,14 @@
 const PERIOD_MS = 500
 const LIMIT_MS = 2_000
 
-function start (): { readonly clock: ManualClock, readonly awake: AwakeClock, readonly monitor: HeartbeatMonitor } {
+function createMonitor (): { readonly clock: ManualClock, readonly awake: AwakeClock, readonly monitor: HeartbeatMonitor } {
   const clock = new ManualClock()
   const awake = new AwakeClock(clock, PERIOD_MS)
   return { clock, awake, monitor: new HeartbeatMonitor(awake, LIMIT_MS) }
 }
 
 test('a peer that sends nothing for the time limit is silent, and one that sends part of a message is not', (t) => {
-  const { clock, awake, monitor } = start()
+  const { clock, awake, monitor } = createMonitor()
   for (let tick = 0; tick < 10; tick++) {
     clock.advance(PERIOD_MS)
     awake.tick()
@@ -36,7 +36,7 @@
 test('a pause of this process does not count as silence of the peer', (t) => {
   // The process is stopped for a minute. When it resumes, its timers fire before its sockets are read, and by the clock
   // all peers have been silent. If this counted as silence, the process would lose all its links with each pause.
-  const { clock, awake, monitor } = start()
+  const { clock, awake, monitor } = createMonitor()
   clock.advance(60_000)
   awake.tick()
   monitor.updateReceived(0)
--- a/src/peer/InboundCalls.ts
+++ b/src/peer/InboundCalls.ts
@@ -80,9 +80,9 @@
   }
 
   private _findShapeError (shape: ReturnType<typeof requestShape>, value: unknown): string | undefined {
-    const fault = shape === undefined ? 'unknown name' : findShapeError(shape, value)
-    if (fault !== undefined) this._context.counters.misshapenMessages += 1
-    return fault
+    const shapeError = shape === undefined ? 'unknown name' : findShapeError(shape, value)
+    if (shapeError !== undefined) this._context.counters.misshapenMessages += 1
+    return shapeError
   }
 
   private _reportHandlerError (name: string, error: unknown): void {
--- a/src/peer/LinkTable.test.ts
+++ b/src/peer/LinkTable.test.ts
@@ -26,13 +26,13 @@
     const [idA, idB] = aIsSmaller ? ['a', 'b'] : ['b', 'a']
     const tableA = new LinkTable<ITestConnection>(idA)
     const tableB = new LinkTable<ITestConnection>(idB)
-    const offer = (table: LinkTable<ITestConnection>, peer: string, id: number, dialledBySelf: boolean): void => {
+    const admitConnection = (table: LinkTable<ITestConnection>, peer: string, id: number, dialledBySelf: boolean): void => {
       const connection = { id, peer: identity(peer), dialledBySelf }
       if (table.admit(connection.peer, dialledBySelf).kind === 'admitted') table.set(connection)
     }
     // Connection 0 was dialled by A, connection 1 by B.
-    for (const id of orderA) offer(tableA, idB, id, id === 0)
-    for (const id of orderB) offer(tableB, idA, id, id === 1)
+    for (const id of orderA) admitConnection(tableA, idB, id, id === 0)
+    for (const id of orderB) admitConnection(tableB, idA, id, id === 1)
     t.is(tableA.get(idB)?.id, tableB.get(idA)?.id)
   }), { seed: SEED })
 })
--- a/src/peer/MembershipAgent.test.ts
+++ b/src/peer/MembershipAgent.test.ts
@@ -15,13 +15,13 @@
 
 const FAST = { heartbeatMs: 50, silenceLimitMs: 500, maxBackoffMs: 100 }
 
-interface IRunning {
+interface IRunningAgent {
   readonly hub: PeerHub
   readonly agent: MembershipAgent
   readonly url: string
 }
 
-async function startAgent (processId: string, seeds: readonly ISeedPeer[], incarnation = 1): Promise<IRunning> {
+async function startAgent (processId: string, seeds: readonly ISeedPeer[], incarnation = 1): Promise<IRunningAgent> {
   const { hub, url } = await startHub(identity(processId, incarnation), FAST)
   const clock = new SystemClock()
   const self = { ...hub.self, role: 'scheduler' as const, peerUrl: url, operatorUrl: 'http://127.0.0.1:1' }
@@ -32,12 +32,12 @@
   return { hub, agent, url }
 }
 
-function stop ({ hub, agent }: IRunning): void {
+function stop ({ hub, agent }: IRunningAgent): void {
   agent.dispose()
   hub.dispose()
 }
 
-function seesAll (observers: readonly IRunning[], processId: string, state: MemberState): boolean {
+function seesAll (observers: readonly IRunningAgent[], processId: string, state: MemberState): boolean {
   return observers.every(({ agent }) => agent.member(processId)?.state === state)
 }
 
@@ -54,10 +54,10 @@
   await until(() => b.agent.routableSchedulers().length === 3 - 1 && c.agent.routableSchedulers().length === 3 - 1)
   stop(b)
   await until(() => seesAll([a, c], 'b', 'dead'))
-  const again = await startAgent('b', seeds, 2)
-  await until(() => seesAll([a, c, again], 'b', 'alive') && seesAll([again], 'c', 'alive'))
-  t.is(a.agent.member('b')?.peerUrl, again.url)
-  for (const running of [a, c, again]) stop(running)
+  const restarted = await startAgent('b', seeds, 2)
+  await until(() => seesAll([a, c, restarted], 'b', 'alive') && seesAll([restarted], 'c', 'alive'))
+  t.is(a.agent.member('b')?.peerUrl, restarted.url)
+  for (const running of [a, c, restarted]) stop(running)
 })
 
 test('a process that is leaving receives no new work, and is dead after it has stopped', async (t) => {
--- a/src/peer/MembershipAgent.ts
+++ b/src/peer/MembershipAgent.ts
@@ -163,13 +163,13 @@
   }
 
   private _updateDials (): void {
-    const wanted = new Map(this._peersToDial().map((peer) => [peer.processId, peer.peerUrl]))
+    const urlsToDial = new Map(this._peersToDial().map((peer) => [peer.processId, peer.peerUrl]))
     for (const [processId, dial] of this._dials) {
-      if (wanted.get(processId) === dial.peerUrl) continue
+      if (urlsToDial.get(processId) === dial.peerUrl) continue
       dial.registration.dispose()
       this._dials.delete(processId)
     }
-    for (const [processId, peerUrl] of wanted) {
+    for (const [processId, peerUrl] of urlsToDial) {
       if (!this._dials.has(processId)) this._dials.set(processId, { peerUrl, registration: this._hub.dial(peerUrl, processId) })
     }
   }
--- a/src/peer/PeerHub.test.ts
+++ b/src/peer/PeerHub.test.ts
@@ -19,25 +19,25 @@
 const DIAL_ROUNDS = 25
 const FAST_HEARTBEAT = { heartbeatMs: 50, silenceLimitMs: 300 }
 
-interface IPair {
+interface ILinkedPair {
   readonly a: PeerHub
   readonly b: PeerHub
-  readonly ab: IPeerLink
+  readonly linkToB: IPeerLink
   readonly forwarder: TcpForwarder
   readonly dial: IDisposable
 }
 
 /** Hub a dials hub b through a forwarder. */
-async function linkedPair (settings: Partial<PeerHubSettings> = {}): Promise<IPair> {
+async function linkedPair (settings: Partial<PeerHubSettings> = {}): Promise<ILinkedPair> {
   const { hub: a } = await startHub(identity('a'), settings)
   const { hub: b, url } = await startHub(identity('b', 1, 'east'), settings)
   const forwarder = new TcpForwarder(Number(new URL(url).port))
   const dial = a.dial(`ws://127.0.0.1:${await forwarder.listen()}`, 'b')
   await until(() => a.link('b') !== undefined && b.link('a') !== undefined)
-  return { a, b, ab: a.link('b') as IPeerLink, forwarder, dial }
+  return { a, b, linkToB: a.link('b') as IPeerLink, forwarder, dial }
 }
 
-async function endPair (pair: IPair): Promise<void> {
+async function endPair (pair: ILinkedPair): Promise<void> {
   pair.a.dispose()
   pair.b.dispose()
   await pair.forwarder.close()
@@ -49,7 +49,7 @@
   })
 }
 
-function never (): Promise<never> {
+function neverResolve (): Promise<never> {
   return new Promise(() => {})
 }
 
@@ -63,18 +63,18 @@
     await new Promise<void>((resolve) => { waiting.set(hostId, resolve) })
     return { draining: hostId === 'second' }
   })
-  const heard: IProcessIdentity[] = []
-  pair.b.listen('members', (_cast, from) => heard.push(from))
-  const first = pair.ab.call('drain', { hostId: 'first' }, 5_000)
-  const second = pair.ab.call('drain', { hostId: 'second' }, 5_000)
+  const receivedFrom: IProcessIdentity[] = []
+  pair.b.listen('members', (_cast, from) => receivedFrom.push(from))
+  const first = pair.linkToB.call('drain', { hostId: 'first' }, 5_000)
+  const second = pair.linkToB.call('drain', { hostId: 'second' }, 5_000)
   await until(() => waiting.size === 2)
   waiting.get('second')?.()
   t.deepEqual((await second)._unsafeUnwrap(), { draining: true })
   waiting.get('first')?.()
   t.deepEqual((await first)._unsafeUnwrap(), { draining: false })
-  pair.ab.cast('members', { news: [] })
-  await until(() => heard.length === 1)
-  t.is(heard[0]?.processId, 'a')
+  pair.linkToB.cast('members', { news: [] })
+  await until(() => receivedFrom.length === 1)
+  t.is(receivedFrom[0]?.processId, 'a')
   t.true(pair.a.traffic().crossRegionSentBytes > 0)
   await endPair(pair)
 })
@@ -85,16 +85,16 @@
     if (request.hostId === 'refuse') throw new RefusedError('drain', 'h1', 'no such host')
     throw new Error('failed half-way')
   })
-  pair.b.handle('cancel', never)
+  pair.b.handle('cancel', neverResolve)
   const failure = async (call: ReturnType<IPeerLink['call']>): Promise<unknown> => (await call)._unsafeUnwrapErr()
-  const refused = await failure(pair.ab.call('drain', { hostId: 'refuse' }, 5_000)) as RefusedError
+  const refused = await failure(pair.linkToB.call('drain', { hostId: 'refuse' }, 5_000)) as RefusedError
   t.true(refused instanceof RefusedError)
   t.is(refused.peer, 'b')
   t.regex(refused.message, /peer\.drain b.*no such host/)
-  t.true(await failure(pair.ab.call('drain', {}, 5_000)) instanceof AmbiguousError)
-  t.true(await failure(pair.ab.call('jobStatus', { jobId: 'j' }, 5_000)) instanceof RefusedError)
-  t.true(await failure(pair.ab.call('cancel', { attemptId: 'x' }, 20)) instanceof AmbiguousError)
-  t.true(await failure(pair.ab.call('cancel', { attemptId: 'x'.repeat(20_000) }, 5_000)) instanceof UnreachableError)
+  t.true(await failure(pair.linkToB.call('drain', {}, 5_000)) instanceof AmbiguousError)
+  t.true(await failure(pair.linkToB.call('jobStatus', { jobId: 'j' }, 5_000)) instanceof RefusedError)
+  t.true(await failure(pair.linkToB.call('cancel', { attemptId: 'x' }, 20)) instanceof AmbiguousError)
+  t.true(await failure(pair.linkToB.call('cancel', { attemptId: 'x'.repeat(20_000) }, 5_000)) instanceof UnreachableError)
   await endPair(pair)
 })
 
@@ -107,8 +107,8 @@
     await new Promise<void>((resolve) => { release.push(resolve) })
     return { cancelled: release.length > 1 }
   })
-  t.true((await pair.ab.call('cancel', { attemptId: '1' }, 10)).isErr())
-  const next = pair.ab.call('cancel', { attemptId: '2' }, 5_000)
+  t.true((await pair.linkToB.call('cancel', { attemptId: '1' }, 10)).isErr())
+  const next = pair.linkToB.call('cancel', { attemptId: '2' }, 5_000)
   await until(() => release.length === 2)
   release[0]?.()
   await until(() => pair.a.counters.lateReplies === 1)
@@ -140,9 +140,9 @@
   await until(() => hub.counters.failedHandshakes >= 4)
   hub.dispose()
   const clock = new SystemClock()
-  const weak = new PeerHub(identity('b'), { sharedKey: 'short' }, { clock, timers: clock, random: new SeededRandom(1) })
-  t.true((await weak.start()).isErr())
-  weak.dispose()
+  const hubWithShortKey = new PeerHub(identity('b'), { sharedKey: 'short' }, { clock, timers: clock, random: new SeededRandom(1) })
+  t.true((await hubWithShortKey.start()).isErr())
+  hubWithShortKey.dispose()
 })
 
 test('when one direction of the connection is cut, both sides detect it and calls in flight end as ambiguous', async (t) => {
@@ -152,16 +152,16 @@
   let handled = 0
   pair.b.handle('cancel', () => {
     handled += 1
-    return never()
+    return neverResolve()
   })
   const lost: string[] = []
   pair.a.onLost((peer) => lost.push(peer.processId))
-  const call = pair.ab.call('cancel', { attemptId: '1' }, 60_000)
+  const call = pair.linkToB.call('cancel', { attemptId: '1' }, 60_000)
   await until(() => handled === 1)
   pair.forwarder.cut('toClient')
   t.true((await call)._unsafeUnwrapErr() instanceof AmbiguousError)
   t.deepEqual(lost, ['b'])
-  t.true((await pair.ab.call('cancel', { attemptId: '2' }, 1_000))._unsafeUnwrapErr() instanceof UnreachableError)
+  t.true((await pair.linkToB.call('cancel', { attemptId: '2' }, 1_000))._unsafeUnwrapErr() instanceof UnreachableError)
   pair.forwarder.heal()
   await until(() => pair.a.link('b') !== undefined && pair.b.link('a') !== undefined)
   await endPair(pair)
@@ -207,10 +207,10 @@
     await new Promise<void>((resolve) => { finish = resolve })
     return { cancelled: true }
   })
-  const call = pair.ab.call('cancel', { attemptId: '1' }, 60_000)
+  const call = pair.linkToB.call('cancel', { attemptId: '1' }, 60_000)
   await until(() => finish !== undefined)
   const closed = pair.b.close(60_000)
-  const late = await pair.ab.call('cancel', { attemptId: '2' }, 60_000)
+  const late = await pair.linkToB.call('cancel', { attemptId: '2' }, 60_000)
   t.true(late._unsafeUnwrapErr() instanceof UnreachableError)
   finish?.()
   t.deepEqual((await call)._unsafeUnwrap(), { cancelled: true })
