--- a/src/peer/PeerHub.test.ts
+++ b/src/peer/PeerHub.test.ts
@@ -1,5 +1,5 @@
 /**
- * Two hubs in one process, over real sockets of 127.0.0.1.
+ * Tests of two hubs in one process, over real sockets on 127.0.0.1.
  */
 
 import test from 'ava'
@@ -19,25 +19,25 @@
 const DIAL_ROUNDS = 25
 const FAST_HEARTBEAT = { heartbeatMs: 50, silenceLimitMs: 300 }
 
-interface IPair {
+interface ILinkedPair {
   readonly a: PeerHub
   readonly b: PeerHub
-  readonly ab: IPeerLink
+  readonly linkToB: IPeerLink
   readonly forwarder: TcpForwarder
   readonly dial: IDisposable
 }
 
 /** Hub a dials hub b through a forwarder. */
-async function linkedPair (settings: Partial<PeerHubSettings> = {}): Promise<IPair> {
+async function linkedPair (settings: Partial<PeerHubSettings> = {}): Promise<ILinkedPair> {
   const { hub: a } = await startHub(identity('a'), settings)
   const { hub: b, url } = await startHub(identity('b', 1, 'east'), settings)
   const forwarder = new TcpForwarder(Number(new URL(url).port))
   const dial = a.dial(`ws://127.0.0.1:${await forwarder.listen()}`, 'b')
   await until(() => a.link('b') !== undefined && b.link('a') !== undefined)
-  return { a, b, ab: a.link('b') as IPeerLink, forwarder, dial }
+  return { a, b, linkToB: a.link('b') as IPeerLink, forwarder, dial }
 }
 
-async function endPair (pair: IPair): Promise<void> {
+async function endPair (pair: ILinkedPair): Promise<void> {
   pair.a.dispose()
   pair.b.dispose()
   await pair.forwarder.close()
@@ -49,66 +49,66 @@
   })
 }
 
-function never (): Promise<never> {
+function neverResolve (): Promise<never> {
   return new Promise(() => {})
 }
 
 test.after.always(disposeAll)
 
-test('calls are answered out of order, each with its own reply, and casts arrive', async (t) => {
+test('calls answered out of order each receive their own reply, and casts are delivered', async (t) => {
   const pair = await linkedPair()
   const waiting = new Map<string, () => void>()
-  pair.b.handle('drain', async (ask) => {
-    const hostId = String(ask.hostId)
+  pair.b.handle('drain', async (request) => {
+    const hostId = String(request.hostId)
     await new Promise<void>((resolve) => { waiting.set(hostId, resolve) })
     return { draining: hostId === 'second' }
   })
-  const heard: IProcessIdentity[] = []
-  pair.b.listen('members', (_cast, from) => heard.push(from))
-  const first = pair.ab.call('drain', { hostId: 'first' }, 5_000)
-  const second = pair.ab.call('drain', { hostId: 'second' }, 5_000)
+  const receivedFrom: IProcessIdentity[] = []
+  pair.b.listen('members', (_cast, from) => receivedFrom.push(from))
+  const first = pair.linkToB.call('drain', { hostId: 'first' }, 5_000)
+  const second = pair.linkToB.call('drain', { hostId: 'second' }, 5_000)
   await until(() => waiting.size === 2)
   waiting.get('second')?.()
   t.deepEqual((await second)._unsafeUnwrap(), { draining: true })
   waiting.get('first')?.()
   t.deepEqual((await first)._unsafeUnwrap(), { draining: false })
-  pair.ab.cast('members', { news: [] })
-  await until(() => heard.length === 1)
-  t.is(heard[0]?.processId, 'a')
+  pair.linkToB.cast('members', { news: [] })
+  await until(() => receivedFrom.length === 1)
+  t.is(receivedFrom[0]?.processId, 'a')
   t.true(pair.a.traffic().crossRegionSentBytes > 0)
   await endPair(pair)
 })
 
 test('a call ends with the error that tells whether it may have taken effect', async (t) => {
   const pair = await linkedPair({ maxFrameBytes: 10_000 })
-  pair.b.handle('drain', async (ask) => {
-    if (ask.hostId === 'refuse') throw new RefusedError('drain', 'h1', 'no such host')
-    throw new Error('broken half-way')
+  pair.b.handle('drain', async (request) => {
+    if (request.hostId === 'refuse') throw new RefusedError('drain', 'h1', 'no such host')
+    throw new Error('failed half-way')
   })
-  pair.b.handle('cancel', never)
+  pair.b.handle('cancel', neverResolve)
   const failure = async (call: ReturnType<IPeerLink['call']>): Promise<unknown> => (await call)._unsafeUnwrapErr()
-  const refused = await failure(pair.ab.call('drain', { hostId: 'refuse' }, 5_000)) as RefusedError
+  const refused = await failure(pair.linkToB.call('drain', { hostId: 'refuse' }, 5_000)) as RefusedError
   t.true(refused instanceof RefusedError)
   t.is(refused.peer, 'b')
   t.regex(refused.message, /peer\.drain b.*no such host/)
-  t.true(await failure(pair.ab.call('drain', {}, 5_000)) instanceof AmbiguousError)
-  t.true(await failure(pair.ab.call('jobStatus', { jobId: 'j' }, 5_000)) instanceof RefusedError)
-  t.true(await failure(pair.ab.call('cancel', { attemptId: 'x' }, 20)) instanceof AmbiguousError)
-  t.true(await failure(pair.ab.call('cancel', { attemptId: 'x'.repeat(20_000) }, 5_000)) instanceof UnreachableError)
+  t.true(await failure(pair.linkToB.call('drain', {}, 5_000)) instanceof AmbiguousError)
+  t.true(await failure(pair.linkToB.call('jobStatus', { jobId: 'j' }, 5_000)) instanceof RefusedError)
+  t.true(await failure(pair.linkToB.call('cancel', { attemptId: 'x' }, 20)) instanceof AmbiguousError)
+  t.true(await failure(pair.linkToB.call('cancel', { attemptId: 'x'.repeat(20_000) }, 5_000)) instanceof UnreachableError)
   await endPair(pair)
 })
 
-test('a reply that comes after its call has timed out reaches no other call', async (t) => {
-  // The peer stalls for longer than the caller waits, and its answer comes while the caller's next call is under way.
-  // Were it taken for the answer of that one, a caller would be told the outcome of somebody else's request.
+test('a reply that arrives after its call has timed out does not complete another call', async (t) => {
+  // The peer stalls for longer than the call's timeout, and its reply arrives while the next call is in progress. If the
+  // reply completed that call, a caller would receive the result of another request.
   const pair = await linkedPair()
   const release: Array<() => void> = []
   pair.b.handle('cancel', async () => {
     await new Promise<void>((resolve) => { release.push(resolve) })
     return { cancelled: release.length > 1 }
   })
-  t.true((await pair.ab.call('cancel', { attemptId: '1' }, 10)).isErr())
-  const next = pair.ab.call('cancel', { attemptId: '2' }, 5_000)
+  t.true((await pair.linkToB.call('cancel', { attemptId: '1' }, 10)).isErr())
+  const next = pair.linkToB.call('cancel', { attemptId: '2' }, 5_000)
   await until(() => release.length === 2)
   release[0]?.()
   await until(() => pair.a.counters.lateReplies === 1)
@@ -117,9 +117,10 @@
   await endPair(pair)
 })
 
-test('both sides dial at once and end with one connection, on which calls survive', async (t) => {
-  // Two processes start together and dial each other. A call goes out on the first connection that is ready, just as
-  // the other side gives it up for the second one. Cut off, it would end as "it may have run" although nothing failed.
+test('two hubs that dial each other at the same time end with one connection, and no call fails', async (t) => {
+  // Two processes start at the same time and dial each other. A call is sent on the first connection that is ready, just
+  // as the other side replaces this connection by the second one. If the connection were closed at once, the call would
+  // end as ambiguous although nothing failed.
   for (let round = 0; round < DIAL_ROUNDS; round++) {
     const { hub: a, url: urlA } = await startHub(identity('a'))
     const { hub: b, url: urlB } = await startHub(identity('b'))
@@ -133,42 +134,42 @@
   }
 })
 
-test('an address that is none fails the dial, and a key that is too short the start', async (t) => {
+test('an invalid address fails the dial, and a key that is too short fails the start', async (t) => {
   const { hub } = await startHub(identity('a'))
   for (const url of ['ws://', 'nonsense', 'ws://localhost:1', 'http://127.0.0.1:1']) hub.dial(url, url)
   await until(() => hub.counters.failedHandshakes >= 4)
   hub.dispose()
   const clock = new SystemClock()
-  const weak = new PeerHub(identity('b'), { sharedKey: 'short' }, { clock, timers: clock, random: new SeededRandom(1) })
-  t.true((await weak.start()).isErr())
-  weak.dispose()
+  const hubWithShortKey = new PeerHub(identity('b'), { sharedKey: 'short' }, { clock, timers: clock, random: new SeededRandom(1) })
+  t.true((await hubWithShortKey.start()).isErr())
+  hubWithShortKey.dispose()
 })
 
-test('when one direction of the path is cut both sides notice, and calls in flight end as ambiguous', async (t) => {
-  // A broken switch swallows what b sends while a's bytes still arrive. The connection stays open, so only silence
-  // shows it; a caller would otherwise wait until its own timeout for answers that can't come.
+test('when one direction of the connection is cut, both sides detect it and calls in flight end as ambiguous', async (t) => {
+  // A faulty switch drops what b sends, while the bytes of a still arrive. The connection stays open, so only the silence
+  // of b shows the fault. Otherwise a call would wait until its own timeout for a reply that can't arrive.
   const pair = await linkedPair(FAST_HEARTBEAT)
   let handled = 0
   pair.b.handle('cancel', () => {
     handled += 1
-    return never()
+    return neverResolve()
   })
   const lost: string[] = []
   pair.a.onLost((peer) => lost.push(peer.processId))
-  const call = pair.ab.call('cancel', { attemptId: '1' }, 60_000)
+  const call = pair.linkToB.call('cancel', { attemptId: '1' }, 60_000)
   await until(() => handled === 1)
   pair.forwarder.cut('toClient')
   t.true((await call)._unsafeUnwrapErr() instanceof AmbiguousError)
   t.deepEqual(lost, ['b'])
-  t.true((await pair.ab.call('cancel', { attemptId: '2' }, 1_000))._unsafeUnwrapErr() instanceof UnreachableError)
+  t.true((await pair.linkToB.call('cancel', { attemptId: '2' }, 1_000))._unsafeUnwrapErr() instanceof UnreachableError)
   pair.forwarder.heal()
   await until(() => pair.a.link('b') !== undefined && pair.b.link('a') !== undefined)
   await endPair(pair)
 })
 
-test('a restarted process takes the place of its older self, and the older one is not let in again', async (t) => {
-  // A process is replaced while its connection still looks open here. Messages for the process must go to the new
-  // one; were the old connection kept, they would vanish until its silence is noticed.
+test('a restarted process replaces its earlier incarnation, which is refused from then on', async (t) => {
+  // A process restarts while its old connection still seems to be open. Messages must be sent to the new incarnation. If
+  // the old connection were kept, messages would be lost until its silence is detected.
   const { hub: a, url } = await startHub(identity('a'))
   const { hub: old } = await startHub(identity('b', 1))
   const lost: number[] = []
@@ -184,9 +185,9 @@
   for (const hub of [a, old, restarted]) hub.dispose()
 })
 
-test('a process with another key gets no link', async (t) => {
-  // A process of another cell, with another key, dials by mistake. Were it let in, its messages would be taken for
-  // those of this cell.
+test('a process with a different key gets no link', async (t) => {
+  // A process of another cell, which has a different key, dials by mistake. If it got a link, its messages would be
+  // processed as those of a process of this cell.
   const { hub: a, url } = await startHub(identity('a'))
   const { hub: stranger } = await startHub(identity('s'), { sharedKey: `${TEST_KEY}, but another` })
   stranger.dial(url, 'a')
@@ -198,18 +199,18 @@
 })
 
 test('a graceful close answers the calls in progress and refuses new ones as not run', async (t) => {
-  // An operator stops a process that is in the middle of a call. The caller must get its answer, and a call that
-  // comes too late must be known not to have run, so that it can go elsewhere.
+  // An operator stops a process that is running a call. The caller must get the reply, and a call that arrives too late
+  // must be reported as not run, so that it can be sent to another process.
   const pair = await linkedPair()
   let finish: (() => void) | undefined
   pair.b.handle('cancel', async () => {
     await new Promise<void>((resolve) => { finish = resolve })
     return { cancelled: true }
   })
-  const call = pair.ab.call('cancel', { attemptId: '1' }, 60_000)
+  const call = pair.linkToB.call('cancel', { attemptId: '1' }, 60_000)
   await until(() => finish !== undefined)
   const closed = pair.b.close(60_000)
-  const late = await pair.ab.call('cancel', { attemptId: '2' }, 60_000)
+  const late = await pair.linkToB.call('cancel', { attemptId: '2' }, 60_000)
   t.true(late._unsafeUnwrapErr() instanceof UnreachableError)
   finish?.()
   t.deepEqual((await call)._unsafeUnwrap(), { cancelled: true })
