--- a/src/gateway/CallerServer.test.ts
+++ b/src/gateway/CallerServer.test.ts
@@ -1,6 +1,6 @@
 /**
- * The callers' side over real sockets: whatever comes in, a clear answer or a closed connection, and the next caller is
- * served.
+ * The HTTP server for callers over real sockets: any input gets a clear answer or a closed connection, and the server
+ * can still serve the next caller.
  */
 
 import { connect } from 'node:net'
@@ -36,13 +36,13 @@
   return config
 }
 
-interface IStarted {
+interface IStartedServer {
   readonly url: string
   readonly port: number
   readonly stop: () => Promise<void>
 }
 
-async function startServer (limits: Partial<typeof SETTINGS_DEFAULTS.limits> = {}): Promise<IStarted> {
+async function startServer (limits: Partial<typeof SETTINGS_DEFAULTS.limits> = {}): Promise<IStartedServer> {
   const log = new SilentLogger()
   const broker = createBroker('gateway', log)
   const echo = async ({ body, contentType }: IRoutedRequest): Promise<IFinalAnswer> => ({ outcome: 'done', status: 200, body, contentType })
@@ -67,7 +67,7 @@
   return { url, port: Number(new URL(url).port), stop }
 }
 
-/** Sends raw bytes and gives all that comes back until the server closes. */
+/** Sends raw bytes and returns everything received until the server closes the connection. */
 async function sendRaw (port: number, bytes: Uint8Array | string): Promise<string> {
   return await new Promise((resolve) => {
     const socket = connect(port, '127.0.0.1')
@@ -79,12 +79,12 @@
   })
 }
 
-test('bytes pass unchanged, and what is over a limit is refused by the name of its field', async (t) => {
+test('a body passes unchanged, and invalid input is refused with the name of its field', async (t) => {
   const { url, stop } = await startServer()
   const body = Buffer.from(Array.from({ length: 256 }, (_, byte) => byte))
-  const whole = await request(`${url}/v1/requests/chip-lookup`, { method: 'POST', headers: { ...HEADERS, 'content-type': 'image/x' }, body })
-  t.deepEqual(Buffer.from(await whole.body.arrayBuffer()), body)
-  t.is(whole.headers['content-type'], 'image/x')
+  const echoed = await request(`${url}/v1/requests/chip-lookup`, { method: 'POST', headers: { ...HEADERS, 'content-type': 'image/x' }, body })
+  t.deepEqual(Buffer.from(await echoed.body.arrayBuffer()), body)
+  t.is(echoed.headers['content-type'], 'image/x')
   for (const [path, method, sent, status, field] of [
     ['/v1/requests/chip-lookup', 'POST', Buffer.alloc(MAX_BODY_BYTES + 1), 413, 'body'],
     ['/v1/requests/no-such', 'POST', '', 404, 'service'],
@@ -93,14 +93,14 @@
     ['/v1/jobs/unknown', 'GET', undefined, 404, 'jobId']
   ] as const) {
     const answer = await request(url + path, { method, headers: HEADERS, ...(sent === undefined ? {} : { body: sent }) })
-    const { field: named } = await answer.body.json() as { readonly field?: string }
-    t.deepEqual([path, answer.statusCode, named], [path, status, field])
+    const { field: namedField } = await answer.body.json() as { readonly field?: string }
+    t.deepEqual([path, answer.statusCode, namedField], [path, status, field])
   }
   await stop()
 })
 
 test('requests over the bound on bytes in flight are refused before their bodies are read', async (t) => {
-  // A burst of uploads arrives. Read without a bound, their bodies fill the gateway's memory.
+  // Without this bound, the bodies of a burst of uploads would fill the gateway's memory.
   const { url, stop } = await startServer({ maxInFlightBytes: 100 as never })
   const answer = await request(`${url}/v1/requests/chip-lookup`, { method: 'POST', headers: HEADERS, body: Buffer.alloc(200) })
   t.is(answer.statusCode, 429)
@@ -109,8 +109,8 @@
   await stop()
 })
 
-test('malformed lines, endless headers and slow senders end in an error and a closed connection', async (t) => {
-  // Somebody probes the port, or a client is broken. A connection that is kept for each would use the gateway up.
+test('malformed request lines, oversized headers and slow senders get an error status and a closed connection', async (t) => {
+  // Port scanners and broken clients must not keep connections open, since they would exhaust the gateway.
   const { port, stop } = await startServer()
   t.regex(await sendRaw(port, 'NOT HTTP\r\n\r\n'), /^HTTP\/1.1 400/)
   t.regex(await sendRaw(port, `GET /v1/health HTTP/1.1\r\nhost: x\r\nx: ${'y'.repeat(100_000)}\r\n\r\n`), /^HTTP\/1.1 431/)
@@ -124,7 +124,7 @@
   await stop()
 })
 
-test('any bytes leave the server able to serve the next caller', async (t) => {
+test('after any bytes the server can still serve the next caller', async (t) => {
   const { url, port, stop } = await startServer()
   const start = fc.constantFrom('', 'POST /v1/requests/chip-lookup HTTP/1.1\r\n', 'POST /v1/jobs HTTP/1.1\r\nhost: x\r\ncontent-length: 9\r\n\r\n')
   const bytes = fc.tuple(start, fc.uint8Array({ maxLength: 300 })).map(([head, rest]) => Buffer.concat([Buffer.from(head), rest]))
--- a/src/gateway/CallerServer.ts
+++ b/src/gateway/CallerServer.ts
@@ -1,5 +1,5 @@
 /**
- * The callers' side of a gateway: requests, jobs and the health check over HTTP, by moleculer-web.
+ * The HTTP server of a gateway for its callers: requests, jobs and the health check, routed by moleculer-web.
  */
 
 import ApiGateway from 'moleculer-web'
@@ -27,7 +27,7 @@
 const MAX_JOB_BYTES = 1024 * 1024
 const OVERLOADED_RETRY_MS = 500
 
-/** What moleculer-web adds to a request. */
+/** A request with the path parameters that moleculer-web adds. */
 interface IApiRequest extends IncomingMessage {
   readonly $params: Readonly<Record<string, string>>
 }
@@ -42,33 +42,33 @@
   readonly outcomes: IOutcomeSink
   readonly clock: IClock
   readonly log: ILogger
-  /** Whether this gateway can serve: it knows the configuration and a scheduler. */
+  /** Whether this gateway can serve requests: it has the configuration and knows a scheduler. */
   readonly isReady: () => boolean
 }
 
 export class CallerServer {
   private readonly _listener: HttpListener
-  private readonly _limit: InFlightLimit
+  private readonly _inFlightLimit: InFlightLimit
   private _draining = false
 
   public constructor (private readonly _context: ICallerServerContext) {
-    this._limit = new InFlightLimit(_context.limits)
-    const service = _context.broker.createService(this._schema()) as unknown as { readonly httpHandler: RequestListener }
+    this._inFlightLimit = new InFlightLimit(_context.limits)
+    const service = _context.broker.createService(this._serviceSchema()) as unknown as { readonly httpHandler: RequestListener }
     this._listener = new HttpListener({ ..._context.limits, requestTimeoutMs: _context.settings.requestTimeoutMs }, service.httpHandler)
   }
 
   public get inFlight (): number {
-    return this._limit.count
+    return this._inFlightLimit.count
   }
 
-  /** Binds the address of the settings; gives the base URL. */
+  /** Binds the configured address and returns the base URL. */
   public async listen (): Promise<string> {
     const url = await this._listener.listen(this._context.settings.listen)
     if (url.isErr()) throw url.error
     return url.value
   }
 
-  /** From now on the health check fails and answers close their connections; requests are still taken. */
+  /** Makes the health check fail and closes each connection after its answer; requests are still accepted. */
   public startDraining (): void {
     this._draining = true
   }
@@ -76,19 +76,19 @@
   /**
    * Refuses new connections and waits until every request in flight has its answer, or `graceMs` has passed.
    *
-   * Called some time after `startDraining`, when the balancer has seen the health check fail: refusing connections
-   * earlier would cut off callers that it still sends here.
+   * Call this some time after `startDraining`, once the load balancer has seen the health check fail: refusing
+   * connections earlier would cut off callers that it still sends to this gateway.
    */
   public async close (graceMs: number): Promise<void> {
     await this._listener.close(graceMs)
   }
 
-  private _schema (): ServiceSchema {
+  private _serviceSchema (): ServiceSchema {
     return {
       name: 'callers',
       mixins: [ApiGateway as unknown as ServiceSchema],
       settings: {
-        // The listener is ours; moleculer-web routes and answers.
+        // HttpListener accepts the connections; moleculer-web routes the requests and answers them.
         server: false,
         path: '/v1',
         logRequest: null,
@@ -99,38 +99,42 @@
           bodyParsers: false,
           mergeParams: true,
           aliases: {
-            'GET health': (_request: IApiRequest, response: ServerResponse) => this._health(response),
-            'POST requests/:service': (request: IApiRequest, response: ServerResponse) => this._limited(request, response, () => this._request(request, response)),
-            'POST jobs': (request: IApiRequest, response: ServerResponse) => this._limited(request, response, () => this._submitJob(request, response)),
-            'GET jobs/:jobId': (request: IApiRequest, response: ServerResponse) => this._limited(request, response, () => this._job(request, response, 'status')),
-            'DELETE jobs/:jobId': (request: IApiRequest, response: ServerResponse) => this._limited(request, response, () => this._job(request, response, 'cancel'))
+            'GET health': (_request: IApiRequest, response: ServerResponse) => this._sendHealth(response),
+            'POST requests/:service': (request: IApiRequest, response: ServerResponse) =>
+              this._serveWithinLimits(request, response, () => this._serveRequest(request, response)),
+            'POST jobs': (request: IApiRequest, response: ServerResponse) =>
+              this._serveWithinLimits(request, response, () => this._submitJob(request, response)),
+            'GET jobs/:jobId': (request: IApiRequest, response: ServerResponse) =>
+              this._serveWithinLimits(request, response, () => this._serveJobCall(request, response, 'status')),
+            'DELETE jobs/:jobId': (request: IApiRequest, response: ServerResponse) =>
+              this._serveWithinLimits(request, response, () => this._serveJobCall(request, response, 'cancel'))
           }
         }]
       }
     }
   }
 
-  /** Refuses at once what goes over the bounds, before its body is read. */
-  private async _limited (request: IApiRequest, response: ServerResponse, serve: () => Promise<void>): Promise<void> {
-    const room = this._limit.take(declaredBytes(request, this._context.settings.maxBodyBytes))
-    if (room.isErr()) {
-      const detail = `too many ${room.error} in flight`
-      this._sendUnread(request, response, { outcome: 'refused', reason: 'overloaded', detail, retryAfterMs: OVERLOADED_RETRY_MS })
+  /** Serves a request within the limits on requests in flight; refuses one over a limit before its body is read. */
+  private async _serveWithinLimits (request: IApiRequest, response: ServerResponse, serve: () => Promise<void>): Promise<void> {
+    const reservation = this._inFlightLimit.take(bytesToReserve(request, this._context.settings.maxBodyBytes))
+    if (reservation.isErr()) {
+      const detail = `too many ${reservation.error} in flight`
+      this._sendAnswerBeforeBody(request, response, { outcome: 'refused', reason: 'overloaded', detail, retryAfterMs: OVERLOADED_RETRY_MS })
       return
     }
     try {
       await serve()
     } finally {
-      room.value()
+      reservation.value()
     }
   }
 
-  private _health (response: ServerResponse): void {
+  private _sendHealth (response: ServerResponse): void {
     const healthy = !this._draining && this._context.isReady()
     this._sendJson(response, healthy ? 200 : 503, { healthy, draining: this._draining })
   }
 
-  private async _request (request: IApiRequest, response: ServerResponse): Promise<void> {
+  private async _serveRequest (request: IApiRequest, response: ServerResponse): Promise<void> {
     const arrivedAtMs = this._context.clock.nowMs()
     const head = parseRequestHead(request.$params.service ?? '', request.headers)
     if (head.isErr()) return this._sendBadInput(request, response, head.error)
@@ -138,9 +142,9 @@
     if (body.isErr()) return this._sendBadInput(request, response, body.error)
     const routed = route(head.value, body.value, this._context.config, arrivedAtMs)
     if (routed.isErr()) return this._sendBadInput(request, response, routed.error)
-    const gone = new AbortController()
-    response.once('close', () => gone.abort())
-    const answer = await this._context.requests.run(routed.value, gone.signal)
+    const disconnected = new AbortController()
+    response.once('close', () => disconnected.abort())
+    const answer = await this._context.requests.run(routed.value, disconnected.signal)
     const late = this._context.clock.nowMs() > routed.value.deadlineAtMs
     this._context.outcomes.noteOutcome(head.value.service, head.value.caller, answer, late)
     this._sendAnswer(response, answer)
@@ -159,10 +163,10 @@
     this._sendJson(response, 202, { jobId: job.value.jobId, state: 'accepted' }, { [HEADER_OUTCOME]: 'done' })
   }
 
-  private async _job (request: IApiRequest, response: ServerResponse, what: 'status' | 'cancel'): Promise<void> {
+  private async _serveJobCall (request: IApiRequest, response: ServerResponse, operation: 'status' | 'cancel'): Promise<void> {
     const jobId = parseName(request.$params.jobId, 'jobId')
     if (jobId.isErr()) return this._sendBadInput(request, response, jobId.error)
-    const found = await this._context.jobs[what](jobId.value)
+    const found = await this._context.jobs[operation](jobId.value)
     if (found === undefined) return this._sendBadInput(request, response, { status: 404, field: 'jobId', message: `no job named ${jobId.value}` })
     if (isJobStatus(found)) return this._sendJson(response, 200, found)
     this._sendAnswer(response, found)
@@ -175,15 +179,16 @@
 
   private _sendBadInput (request: IncomingMessage, response: ServerResponse, fault: IBadInput): void {
     const text = JSON.stringify({ outcome: 'refused', reason: 'badInput', field: fault.field, detail: `${fault.field} ${fault.message}` })
-    this._endUnread(request, response, fault.status, { 'content-type': 'application/json', [HEADER_OUTCOME]: 'refused', [HEADER_REASON]: 'badInput' }, text)
+    this._sendBeforeBody(request, response, fault.status,
+      { 'content-type': 'application/json', [HEADER_OUTCOME]: 'refused', [HEADER_REASON]: 'badInput' }, text)
   }
 
-  private _sendUnread (request: IncomingMessage, response: ServerResponse, answer: IFinalAnswer): void {
-    this._endUnread(request, response, answerStatus(answer), answerHeaders(answer), String(answerBody(answer)))
+  private _sendAnswerBeforeBody (request: IncomingMessage, response: ServerResponse, answer: IFinalAnswer): void {
+    this._sendBeforeBody(request, response, answerStatus(answer), answerHeaders(answer), String(answerBody(answer)))
   }
 
-  /** Answers a request whose body may not have been read. */
-  private _endUnread (
+  /** Answers a request whose body may not have been read to the end. */
+  private _sendBeforeBody (
     request: IncomingMessage, response: ServerResponse, status: number, headers: Readonly<Record<string, string>>, text: string): void {
     if (request.complete) return this._send(response, status, headers, text)
     response.writeHead(status, { ...headers, 'content-length': String(Buffer.byteLength(text)), connection: 'close' })
@@ -207,8 +212,8 @@
   return 'jobId' in found
 }
 
-/** What a body may take: its declared length, or the largest allowed when it declares none. */
-function declaredBytes (request: IncomingMessage, maxBytes: number): number {
+/** How many bytes to reserve for a body: its declared length, or the largest allowed size if it declares none. */
+function bytesToReserve (request: IncomingMessage, maxBytes: number): number {
   const declared = request.headers['content-length']
   if (declared !== undefined) return Math.min(Number(declared), maxBytes)
   return request.headers['transfer-encoding'] === undefined ? 0 : maxBytes
--- a/src/gateway/OutcomeInquiry.test.ts
+++ b/src/gateway/OutcomeInquiry.test.ts
@@ -1,5 +1,5 @@
 /**
- * What a gateway asks, and whom, after a scheduler fell silent with a non-idempotent request.
+ * How a gateway determines the outcome of a non-idempotent request whose scheduler stopped answering.
  */
 
 import { okAsync } from 'neverthrow'
@@ -14,7 +14,7 @@
 import type { IFinalAnswer } from '../common/Types.js'
 import type { IFlowContext, IRoutedRequest } from './Types.js'
 
-interface ICalled {
+interface IRecordedCall {
   readonly to: string
   readonly name: string
   readonly ask: unknown
@@ -24,56 +24,60 @@
 const HEAD = { service: 'season-budget', caller: 'farm', requestId: 'r1', contentType: 'text/plain', deadlineMs: 1000, idempotent: false }
 const HOLDER_INCARNATION = 7
 
-function setUp (replies: readonly BlockReply[]): { readonly inquiry: OutcomeInquiry, readonly clock: ManualClock, readonly called: ICalled[] } {
+function setUp (
+  replies: readonly BlockReply[]
+): { readonly resolver: OutcomeInquiry, readonly clock: ManualClock, readonly calls: IRecordedCall[] } {
   const clock = new ManualClock()
-  const called: ICalled[] = []
-  let asked = 0
-  const answer = (name: string): unknown => name === 'outcomeOf' ? { outcome: 'done', status: 200 } : replies[asked++]
+  const calls: IRecordedCall[] = []
+  let blockCalls = 0
+  const answer = (name: string): unknown => name === 'outcomeOf' ? { outcome: 'done', status: 200 } : replies[blockCalls++]
   const link = (to: string): unknown => to !== 'owner' && to !== 's1'
     ? undefined
     : {
         peer: { processId: to, incarnation: HOLDER_INCARNATION },
         call: (name: string, ask: unknown) => {
-          called.push({ to, name, ask, atMs: clock.nowMs() })
+          calls.push({ to, name, ask, atMs: clock.nowMs() })
           return okAsync(answer(name))
         }
       }
-  const context = { hub: { link }, router: { ownerOf: () => 'owner' }, hasher: { claimKey: () => 'k', idShard: () => 'ids/00' }, clock, timers: clock }
-  return { inquiry: new OutcomeInquiry(context as unknown as IFlowContext), clock, called }
+  const context = {
+    hub: { link }, router: { ownerOf: () => 'owner' }, hasher: { claimKey: () => 'k', idShard: () => 'ids/00' }, clock, timers: clock
+  }
+  return { resolver: new OutcomeInquiry(context as unknown as IFlowContext), clock, calls }
 }
 
 function requestAt (nowMs: number): IRoutedRequest {
   return route(HEAD, new Uint8Array(), testConfig(), nowMs)._unsafeUnwrap()
 }
 
-async function settled (clock: ManualClock, answer: Promise<IFinalAnswer>): Promise<IFinalAnswer> {
+async function answerAfterAdvance (clock: ManualClock, answer: Promise<IFinalAnswer>): Promise<IFinalAnswer> {
   await advance(clock, 6000)
   return await answer
 }
 
-test('a block tells how old its request is, anew each time', async (t) => {
-  // Claims are forgotten after a while. Of a request older than that nobody can say by their absence that it never ran;
-  // were its age not told, the caller would hear "not run" of work that ran.
-  const { inquiry, clock, called } = setUp([{ decision: 'notOwner' }, { decision: 'blocked' }])
-  const takenAtMs = clock.nowMs()
-  const request = requestAt(takenAtMs)
+test('each block call carries the current age of its request', async (t) => {
+  // Claims expire, so a missing claim does not prove that an older request never ran. If the calls carried no age, the
+  // caller would be told "not run" about work that had run.
+  const { resolver, clock, calls } = setUp([{ decision: 'notOwner' }, { decision: 'blocked' }])
+  const arrivedAtMs = clock.nowMs()
+  const request = requestAt(arrivedAtMs)
   await advance(clock, 400)
-  t.like(await settled(clock, inquiry.settle(request, 'a1', 's1')), { outcome: 'notRun' })
-  t.is(called.length, 2)
-  t.deepEqual(called.map(({ ask }) => (ask as { readonly ageMs: number }).ageMs), called.map(({ atMs }) => atMs - takenAtMs))
-  t.true((called[0]?.atMs ?? 0) >= takenAtMs + 400 && (called[1]?.atMs ?? 0) > (called[0]?.atMs ?? 0))
+  t.like(await answerAfterAdvance(clock, resolver.settle(request, 'a1', 's1')), { outcome: 'notRun' })
+  t.is(calls.length, 2)
+  t.deepEqual(calls.map(({ ask }) => (ask as { readonly ageMs: number }).ageMs), calls.map(({ atMs }) => atMs - arrivedAtMs))
+  t.true((calls[0]?.atMs ?? 0) >= arrivedAtMs + 400 && (calls[1]?.atMs ?? 0) > (calls[0]?.atMs ?? 0))
 })
 
 test('the holder of the claim is asked for the outcome', async (t) => {
-  // The link was cut just after the request went out, and came back. The work has run; without the holder's word its
-  // caller would be left with "unknown", and would not know whether to start the pivot again.
-  const { inquiry, clock, called } = setUp([{ decision: 'claimed', holder: `s1#${HOLDER_INCARNATION}` }])
-  t.like(await settled(clock, inquiry.settle(requestAt(0), 'a1', 's1')), { outcome: 'done' })
-  t.like(called[1], { to: 's1', name: 'outcomeOf' })
+  // The link was lost just after the request was sent, and came back; the work has run. If the holder were not asked, the
+  // caller would get "unknown" and could not tell whether to start the pivot again.
+  const { resolver, clock, calls } = setUp([{ decision: 'claimed', holder: `s1#${HOLDER_INCARNATION}` }])
+  t.like(await answerAfterAdvance(clock, resolver.settle(requestAt(0), 'a1', 's1')), { outcome: 'done' })
+  t.like(calls[1], { to: 's1', name: 'outcomeOf' })
 })
 
-test('a holder that has restarted knows nothing of the outcome', async (t) => {
-  const { inquiry, clock, called } = setUp([{ decision: 'claimed', holder: 's1#1' }])
-  t.like(await settled(clock, inquiry.settle(requestAt(0), 'a1', 's1')), { outcome: 'unknown' })
-  t.is(called.length, 1)
+test('the outcome is unknown if the holder of the claim has restarted', async (t) => {
+  const { resolver, clock, calls } = setUp([{ decision: 'claimed', holder: 's1#1' }])
+  t.like(await answerAfterAdvance(clock, resolver.settle(requestAt(0), 'a1', 's1')), { outcome: 'unknown' })
+  t.is(calls.length, 1)
 })
--- a/src/gateway/RequestFlow.test.ts
+++ b/src/gateway/RequestFlow.test.ts
@@ -1,5 +1,5 @@
 /**
- * A request's way from a gateway to schedulers: another one is tried only when that can do no harm.
+ * How a gateway forwards a request: another scheduler is tried only when that is safe.
  */
 
 import test from 'ava'
@@ -22,13 +22,13 @@
 
 const SELF = { processId: 'g1', incarnation: 1, region: 'lakes-west', failureDomain: 'lakes-west' }
 const DONE: IFinalAnswer = { outcome: 'done', status: 200 }
-const CUT = new AmbiguousError('peer.submit', 's1', 'link lost')
+const LINK_LOST = new AmbiguousError('peer.submit', 's1', 'link lost')
 
-/** Two schedulers; `answers` are what they say to `submit`, one after the other, and `blocks` what the claim's owner says. */
+/** Two schedulers; `_answers` are their replies to `submit` in order, `_blocks` those of the claim's owner to `block`. */
 class Fixture {
   public readonly clock = new ManualClock()
   public readonly calls: string[] = []
-  private readonly _flow: RequestFlow
+  private readonly _forwarder: RequestFlow
 
   public constructor (private readonly _answers: Array<IFinalAnswer | PeerError>, private readonly _blocks: Array<BlockReply | PeerError> = []) {
     const { clock } = this
@@ -43,10 +43,10 @@
     }
     const hasher = new IdHasher((text) => text, (text) => text.length, 8)
     const common = { config: new ConfigReplica(), attemptIds: new AttemptIds(SELF), random: new SeededRandom(1), log: new SilentLogger() }
-    this._flow = new RequestFlow({ ...common, hub, router, hasher, clock, timers: clock })
+    this._forwarder = new RequestFlow({ ...common, hub, router, hasher, clock, timers: clock })
   }
 
-  public async run (idempotent: boolean, gone?: AbortSignal): Promise<IFinalAnswer> {
+  public async run (idempotent: boolean, disconnected?: AbortSignal): Promise<IFinalAnswer> {
     const request: IRoutedRequest = {
       service: 'pivot-start',
       caller: 'crew',
@@ -59,7 +59,7 @@
       arrivedAtMs: 0,
       deadlineAtMs: 1000
     }
-    const answer = this._flow.run(request, gone)
+    const answer = this._forwarder.run(request, disconnected)
     for (let round = 0; round < 200; round++) {
       await settle()
       this.clock.advance(50)
@@ -80,41 +80,41 @@
   }
 }
 
-test('a refusal that another scheduler may not share goes on to the next one', async (t) => {
-  const flow = new Fixture([{ outcome: 'refused', reason: 'draining', retryAfterMs: 1 }, DONE])
-  t.like(await flow.run(false), { outcome: 'done' })
-  t.deepEqual(flow.calls, ['submit s1', 'submit s2'])
+test('after a refusal that may not apply to other schedulers, the next one is tried', async (t) => {
+  const fixture = new Fixture([{ outcome: 'refused', reason: 'draining', retryAfterMs: 1 }, DONE])
+  t.like(await fixture.run(false), { outcome: 'done' })
+  t.deepEqual(fixture.calls, ['submit s1', 'submit s2'])
   const infeasible = new Fixture([{ outcome: 'refused', reason: 'infeasible' }, DONE])
   t.like(await infeasible.run(true), { outcome: 'refused', reason: 'infeasible' })
 })
 
-test('a link that breaks under an idempotent request costs another try, never a false "not run"', async (t) => {
-  // The scheduler was sent the request and fell silent; it may have run. The next one is full, and what the caller is
-  // told has to allow for the first.
-  t.like(await new Fixture([CUT, DONE]).run(true), { outcome: 'done' })
-  t.like(await new Fixture([CUT, { outcome: 'refused', reason: 'overloaded', retryAfterMs: 1 }]).run(true), { outcome: 'unknown' })
+test('an idempotent request whose link broke is tried again, and never answered with a false "not run"', async (t) => {
+  // The first scheduler got the request and stopped answering, so the request may have run there. The second scheduler
+  // is full, and the final answer must still allow for the first attempt.
+  t.like(await new Fixture([LINK_LOST, DONE]).run(true), { outcome: 'done' })
+  t.like(await new Fixture([LINK_LOST, { outcome: 'refused', reason: 'overloaded', retryAfterMs: 1 }]).run(true), { outcome: 'unknown' })
 })
 
-test('a non-idempotent request whose link broke goes out again only once its first attempt is blocked', async (t) => {
-  // The scheduler may be about to start the pivot. Sent elsewhere at once, the pivot would start twice.
-  const blocked = new Fixture([CUT, DONE], [CUT, { decision: 'notOwner' }, { decision: 'blocked' }])
+test('a non-idempotent request whose link broke is sent again only once its first attempt is blocked', async (t) => {
+  // The scheduler may be about to start the pivot. If the request went to another one at once, the pivot would start twice.
+  const blocked = new Fixture([LINK_LOST, DONE], [LINK_LOST, { decision: 'notOwner' }, { decision: 'blocked' }])
   t.like(await blocked.run(false), { outcome: 'done' })
   t.deepEqual(blocked.calls, ['submit s1', 'block s2', 'block s2', 'block s2', 'submit s2'])
 })
 
 test('what was claimed is asked of its holder, and stays unknown when nobody can tell', async (t) => {
-  const claimed = new Fixture([CUT], [{ decision: 'claimed', holder: 's2#5' }])
+  const claimed = new Fixture([LINK_LOST], [{ decision: 'claimed', holder: 's2#5' }])
   t.like(await claimed.run(false), { outcome: 'done' })
   t.deepEqual(claimed.calls, ['submit s1', 'block s2', 'outcomeOf s2'])
-  t.like(await new Fixture([CUT], []).run(false), { outcome: 'unknown', reason: 'linkLost' })
+  t.like(await new Fixture([LINK_LOST], []).run(false), { outcome: 'unknown', reason: 'linkLost' })
 })
 
-test('when its caller hangs up, a queued request is taken out of the queue and goes to no other scheduler', async (t) => {
-  // Callers give up in waves. Were their requests left in the queues, live callers would wait behind them.
-  const gone = new AbortController()
-  const flow = new Fixture([{ outcome: 'notRun', reason: 'overloaded', retryAfterMs: 0 }, DONE])
-  const answer = flow.run(true, gone.signal)
-  gone.abort()
+test('when its caller disconnects, a queued request is cancelled and sent to no other scheduler', async (t) => {
+  // Many callers give up at once. If their requests stayed in the queues, connected callers would wait behind them.
+  const disconnected = new AbortController()
+  const fixture = new Fixture([{ outcome: 'notRun', reason: 'overloaded', retryAfterMs: 0 }, DONE])
+  const answer = fixture.run(true, disconnected.signal)
+  disconnected.abort()
   t.like(await answer, { outcome: 'notRun' })
-  t.deepEqual(flow.calls, ['submit s1', 'cancel s1'])
+  t.deepEqual(fixture.calls, ['submit s1', 'cancel s1'])
 })
--- a/src/gateway/RequestFlow.ts
+++ b/src/gateway/RequestFlow.ts
@@ -1,5 +1,5 @@
 /**
- * Carries one request from a gateway to a scheduler and comes back with its one final answer.
+ * Forwards a request from a gateway to schedulers until it has its one final answer.
  */
 
 import { AmbiguousError } from '../common/Errors.js'
@@ -9,49 +9,52 @@
 import type { PeerError } from '../peer/Types.js'
 import type { IFlowContext, IRoutedRequest } from './Types.js'
 
-/** The reply of a scheduler may come this much after the deadline that it was given: it answers at the deadline. */
+/** How long after the deadline a reply is awaited: a scheduler may answer as late as the deadline itself. */
 const REPLY_GRACE_MS = 250
 const CANCEL_TIMEOUT_MS = 1000
-/** Schedulers tried for one request; each further one costs a link's round trip. */
+/** How many schedulers are tried for one request; each further one costs a round trip. */
 const MAX_SCHEDULERS_TRIED = 3
-/** When nobody can serve, routes change within about a second; the refused are spread over two. */
+/**
+ * The shortest retry delay when no scheduler can serve the request: routes change within about a second. Jitter raises it
+ * to at most two seconds, so that refused callers do not all come back at once.
+ */
 const NO_UPSTREAM_RETRY_MS = 1000
 
-/** The refusals that another scheduler may not share; nothing has run. */
+/** Reasons that may not apply to another scheduler; nothing has run unless the outcome is `unknown`. */
 const RETRIABLE_REASONS = new Set(['overloaded', 'noUpstream', 'draining', 'upstreamRefused', 'linkLost'])
 
 export class RequestFlow {
-  private readonly _inquiry: OutcomeInquiry
+  private readonly _outcomeResolver: OutcomeInquiry
 
   public constructor (private readonly _context: IFlowContext) {
-    this._inquiry = new OutcomeInquiry(_context)
+    this._outcomeResolver = new OutcomeInquiry(_context)
   }
 
-  /** Never rejects; gives the final answer as soon as it is known. `gone` fires when its caller has hung up. */
-  public async run (request: IRoutedRequest, gone?: AbortSignal): Promise<IFinalAnswer> {
+  /** Returns the final answer as soon as it is known; never rejects. `disconnected` aborts when the caller disconnects. */
+  public async run (request: IRoutedRequest, disconnected?: AbortSignal): Promise<IFinalAnswer> {
     const excluded = new Set<string>()
-    let answer = this._noUpstream(request)
+    let answer = this._noUpstreamAnswer(request)
     while (excluded.size < MAX_SCHEDULERS_TRIED) {
       const schedulerId = this._context.router.choose({ profile: request.profile, excluded })
       if (schedulerId === undefined) break
       excluded.add(schedulerId)
-      answer = notUnsaid(answer, await this._attempt(request, schedulerId, excluded.size - 1, gone))
-      if (gone?.aborted === true) break
+      answer = keepUnknown(answer, await this._attempt(request, schedulerId, excluded.size - 1, disconnected))
+      if (disconnected?.aborted === true) break
       if (!this._mayTryAnother(request, answer)) break
     }
     return answer
   }
 
-  private async _attempt (request: IRoutedRequest, schedulerId: string, hops: number, gone?: AbortSignal): Promise<IFinalAnswer> {
+  private async _attempt (request: IRoutedRequest, schedulerId: string, hops: number, disconnected?: AbortSignal): Promise<IFinalAnswer> {
     const link = this._context.hub.link(schedulerId)
     const remainingMs = request.deadlineAtMs - this._context.clock.nowMs()
-    if (link === undefined) return this._notRun(request, 'linkLost')
-    if (remainingMs <= 0) return this._notRun(request, 'deadline')
+    if (link === undefined) return this._notRunAnswer(request, 'linkLost')
+    if (remainingMs <= 0) return this._notRunAnswer(request, 'deadline')
     const attemptId = this._context.attemptIds.next()
     this._context.router.noteSent(schedulerId)
-    // Queued work of a caller who has gone would keep others waiting; what already runs goes on.
+    // A queued request whose caller has disconnected would delay other callers; one that already runs continues.
     const cancel = (): void => { link.call('cancel', { attemptId }, CANCEL_TIMEOUT_MS) }
-    gone?.addEventListener('abort', cancel, { once: true })
+    disconnected?.addEventListener('abort', cancel, { once: true })
     const reply = await link.call('submit', {
       attemptId,
       service: request.service,
@@ -64,19 +67,19 @@
       ageMs: this._context.clock.nowMs() - request.arrivedAtMs,
       hops
     }, remainingMs + REPLY_GRACE_MS)
-    gone?.removeEventListener('abort', cancel)
-    return reply.match(async (answer) => answer, async (error) => await this._failed(request, schedulerId, attemptId, error))
+    disconnected?.removeEventListener('abort', cancel)
+    return reply.match(async (answer) => answer, async (error) => await this._handleFailure(request, schedulerId, attemptId, error))
   }
 
   /**
-   * The link failed or the scheduler fell silent. What was never sent did not run. What was sent may run: an
-   * idempotent request may go out again, any other only after an inquiry has settled what became of it.
+   * Handles a failed link or a scheduler that stopped answering. A request that was never sent did not run. One that was
+   * sent may run: it may be sent again if it is idempotent, any other only after its outcome has been determined.
    */
-  private async _failed (request: IRoutedRequest, schedulerId: string, attemptId: string, error: PeerError): Promise<IFinalAnswer> {
+  private async _handleFailure (request: IRoutedRequest, schedulerId: string, attemptId: string, error: PeerError): Promise<IFinalAnswer> {
     this._context.log.warn('request.linkFailed', { requestId: request.requestId, step: error.step, peer: schedulerId, attemptId })
-    if (!(error instanceof AmbiguousError)) return this._notRun(request, 'linkLost')
-    if (!request.idempotent) return await this._inquiry.settle(request, attemptId, schedulerId)
-    return { ...this._notRun(request, 'linkLost'), outcome: 'unknown' }
+    if (!(error instanceof AmbiguousError)) return this._notRunAnswer(request, 'linkLost')
+    if (!request.idempotent) return await this._outcomeResolver.settle(request, attemptId, schedulerId)
+    return { ...this._notRunAnswer(request, 'linkLost'), outcome: 'unknown' }
   }
 
   private _mayTryAnother (request: IRoutedRequest, answer: IFinalAnswer): boolean {
@@ -86,11 +89,11 @@
     return RETRIABLE_REASONS.has(answer.reason)
   }
 
-  private _noUpstream (request: IRoutedRequest): IFinalAnswer {
-    return { ...this._notRun(request, 'noUpstream'), outcome: 'refused', detail: 'no scheduler with upstreams can be reached' }
+  private _noUpstreamAnswer (request: IRoutedRequest): IFinalAnswer {
+    return { ...this._notRunAnswer(request, 'noUpstream'), outcome: 'refused', detail: 'no scheduler with upstreams can be reached' }
   }
 
-  private _notRun (request: IRoutedRequest, reason: 'linkLost' | 'deadline' | 'noUpstream'): IFinalAnswer {
+  private _notRunAnswer (request: IRoutedRequest, reason: 'linkLost' | 'deadline' | 'noUpstream'): IFinalAnswer {
     return {
       outcome: 'notRun',
       reason,
@@ -100,7 +103,7 @@
   }
 }
 
-/** After an attempt that may have run, a later one that did not run leaves the outcome unknown. */
-function notUnsaid (earlier: IFinalAnswer, answer: IFinalAnswer): IFinalAnswer {
+/** Keeps the outcome unknown when an earlier attempt may have run and a later one was not done. */
+function keepUnknown (earlier: IFinalAnswer, answer: IFinalAnswer): IFinalAnswer {
   return earlier.outcome === 'unknown' && answer.outcome !== 'done' ? earlier : answer
 }
--- a/src/gateway/RouteRequest.test.ts
+++ b/src/gateway/RouteRequest.test.ts
@@ -1,5 +1,5 @@
 /**
- * What a request becomes under its service's profile.
+ * The deadline that a routed request gets.
  */
 
 import test from 'ava'
@@ -11,8 +11,8 @@
 const BODY = new Uint8Array()
 
 test('a non-idempotent request gets no deadline beyond the age at which it may still claim', (t) => {
-  // A pivot start waits in a queue for longer than its id's first claim is kept. Dispatched then, it would run a second
-  // time if a repeat of it had run meanwhile.
+  // A pivot start waits in a queue for longer than the first claim of its id is kept. If it were dispatched then, it
+  // would run a second time if a repeat of it had run in the meantime.
   const routed = route({ ...HEAD, idempotent: false }, BODY, testConfig(), 1000)._unsafeUnwrap()
   t.is(routed.deadlineAtMs, 1000 + MAX_ATTEMPT_AGE_MS)
   const short = route({ ...HEAD, idempotent: false, deadlineMs: 50 }, BODY, testConfig(), 1000)._unsafeUnwrap()
--- a/src/gateway/RouteRequest.ts
+++ b/src/gateway/RouteRequest.ts
@@ -1,5 +1,6 @@
 /**
- * Turns a checked head into a routed request: finds the service and its profile and fills in what was left out.
+ * Turns a validated request head into a routed request: looks up the service and its profile, and fills in the defaults of
+ * the profile.
  */
 
 import { err, ok } from 'neverthrow'
@@ -12,8 +13,8 @@
 import type { IRoutedRequest } from './Types.js'
 
 /**
- * A request that isn't idempotent gets no deadline beyond the age at which it may still claim. One that waited longer
- * would find the first claim of its id forgotten, and the work would run twice.
+ * The deadline of a non-idempotent request is at most the age at which it may still claim its id. If it waited longer, the
+ * first claim of the id could have expired, and the work would run twice.
  */
 export function route (head: IRequestHead, body: Uint8Array, config: IConfigReplica, nowMs: number): Result<IRoutedRequest, IBadInput> {
   const service = config.service(head.service)
--- a/src/gateway/Types.ts
+++ b/src/gateway/Types.ts
@@ -1,5 +1,5 @@
 /**
- * What the parts of a gateway need from each other.
+ * Types that the parts of a gateway share.
  */
 
 import type { IdHasher, AttemptIds } from '../common/requests/AttemptIds.js'
@@ -9,7 +9,7 @@
 import type { IPeerHub } from '../peer/Types.js'
 import type { IClock, IFinalAnswer, IRandom, ITimers } from '../common/Types.js'
 
-/** What a flow of requests needs. */
+/** The dependencies for forwarding requests and jobs. */
 export interface IFlowContext {
   readonly hub: IPeerHub
   readonly router: ISchedulerRouter
@@ -32,13 +32,13 @@
   readonly body: Uint8Array
   readonly profile: IProfile
   readonly profileRevision: number
-  /** When the gateway took it, by its monotonic clock. */
+  /** When the request arrived, by the gateway's monotonic clock. */
   readonly arrivedAtMs: number
   /** By the gateway's monotonic clock. */
   readonly deadlineAtMs: number
 }
 
-/** Counts how requests end, for operators. */
+/** Counts the outcomes of requests for operators. */
 export interface IOutcomeSink {
   noteOutcome (service: string, caller: string, answer: IFinalAnswer, late: boolean): void
 }
--- a/src/gateway/lingeringEnd.ts
+++ b/src/gateway/lingeringEnd.ts
@@ -1,18 +1,18 @@
 /**
- * Ends a response to a request whose body has not been read whole.
+ * Ends the response to a request whose body has not been read to the end.
  */
 
 import type { IncomingMessage, ServerResponse } from 'node:http'
 
-/** Bytes of an unwanted body that are read and thrown away, so that its sender gets to read the answer. */
+/** How many bytes of an unread body are read and discarded, so that its sender gets to read the answer. */
 const MAX_DISCARDED_BYTES = 32 * 1024 * 1024
 const MAX_LINGER_MS = 5000
 
 /**
- * The answer goes out at once; the connection closes when the sender has finished, or sent too much, or takes too long.
+ * Sends the answer at once; closes the connection when the sender has finished, has sent too much or takes too long.
  *
- * What goes wrong otherwise: closing a connection with unread bytes resets it, and the sender sees a broken pipe in
- * place of the answer that tells what was wrong with its body. Reading on for ever would let it use up the gateway.
+ * Closing a connection with unread bytes resets it, and the sender would see a broken pipe instead of the answer that says
+ * what is wrong with its body. Reading without a limit would let a sender exhaust the gateway.
  */
 export function lingeringEnd (request: IncomingMessage, response: ServerResponse, body: string): void {
   response.write(body)
