--- a/src/common/requests/AnswerHeaders.ts
+++ b/src/common/requests/AnswerHeaders.ts
@@ -1,5 +1,5 @@
 /**
- * How a final answer looks in HTTP: the status and headers that docs/API.md documents.
+ * Maps a final answer to HTTP: the status, headers and body that docs/API.md documents.
  */
 
 import type { IFinalAnswer, OutcomeReason } from '../Types.js'
@@ -16,7 +16,7 @@
 const NOT_RUN_STATUS = 503
 const UNKNOWN_STATUS = 502
 
-/** The status: the upstream's own when done, else one that says what a caller may do. */
+/** The HTTP status: the upstream's own if the outcome is `done`, otherwise one that tells the caller how to react. */
 export function answerStatus (answer: IFinalAnswer): number {
   switch (answer.outcome) {
     case 'done': return answer.status ?? 200
@@ -26,7 +26,7 @@
   }
 }
 
-/** `retry-after` is in whole seconds by its standard; the exact time stands in `x-jackdawreel-retry-after-ms`. */
+/** `retry-after` has whole seconds, as HTTP requires; `x-jackdawreel-retry-after-ms` has the exact time. */
 export function answerHeaders (answer: IFinalAnswer): Record<string, string> {
   const headers: Record<string, string> = { [HEADER_OUTCOME]: answer.outcome }
   if (answer.reason !== undefined) headers[HEADER_REASON] = answer.reason
@@ -34,22 +34,22 @@
     headers['retry-after'] = String(Math.max(1, Math.ceil(answer.retryAfterMs / MS_PER_SECOND)))
     headers['x-jackdawreel-retry-after-ms'] = String(Math.round(answer.retryAfterMs))
   }
-  addIfKnown(headers, 'x-jackdawreel-upstream', answer.upstream)
-  addIfKnown(headers, 'x-jackdawreel-region', answer.region)
-  addIfKnown(headers, 'x-jackdawreel-wait-ms', answer.waitMs?.toFixed(1))
-  addIfKnown(headers, 'x-jackdawreel-service-ms', answer.serviceMs?.toFixed(1))
-  addIfKnown(headers, 'x-jackdawreel-profile-revision', answer.profileRevision)
+  setIfDefined(headers, 'x-jackdawreel-upstream', answer.upstream)
+  setIfDefined(headers, 'x-jackdawreel-region', answer.region)
+  setIfDefined(headers, 'x-jackdawreel-wait-ms', answer.waitMs?.toFixed(1))
+  setIfDefined(headers, 'x-jackdawreel-service-ms', answer.serviceMs?.toFixed(1))
+  setIfDefined(headers, 'x-jackdawreel-profile-revision', answer.profileRevision)
   headers['content-type'] = answer.outcome === 'done' ? (answer.contentType ?? 'application/octet-stream') : 'application/json'
   return headers
 }
 
-/** The body: the upstream's bytes when done, else a JSON object with the same facts as the headers. */
+/** The body: the upstream's bytes if the outcome is `done`, otherwise a JSON object that repeats facts of the headers. */
 export function answerBody (answer: IFinalAnswer): Uint8Array | string {
   if (answer.outcome === 'done') return answer.body ?? new Uint8Array(0)
   const { outcome, reason, detail, retryAfterMs, upstream } = answer
   return JSON.stringify({ outcome, reason, detail, retryAfterMs, upstream })
 }
 
-function addIfKnown (headers: Record<string, string>, name: string, value: string | number | undefined): void {
+function setIfDefined (headers: Record<string, string>, name: string, value: string | number | undefined): void {
   if (value !== undefined) headers[name] = String(value)
 }
--- a/src/common/requests/AttemptIds.ts
+++ b/src/common/requests/AttemptIds.ts
@@ -1,21 +1,21 @@
 /**
- * Identities of attempts, unique over processes and restarts, and the hash that spreads request ids over id shards.
+ * Ids of attempts, unique across processes and restarts, and the hash that distributes request ids over id shards.
  */
 
 import type { Hash32, Hash64 } from './HashTypes.js'
 import type { IProcessIdentity } from '../Types.js'
 
 const ID_SHARD_PREFIX = 'ids/'
-/** Between the parts of a claim key; the header parser refuses it in callers' names and ids. */
+/** Separates the parts of a claim key; the header parser refuses it in callers' names and ids. */
 const SEPARATOR = '\u0000'
 
-/** Numbers the attempts of one process. */
+/** Generates the attempt ids of one process. */
 export class AttemptIds {
   private _sequence = 0
 
   public constructor (private readonly _self: IProcessIdentity) {}
 
-  /** `processId.incarnation.sequence`, the incarnation and sequence in base 36. */
+  /** Returns `processId.incarnation.sequence`, with the incarnation and the sequence in base 36. */
   public next (): string {
     this._sequence += 1
     return `${this._self.processId}.${this._self.incarnation.toString(36)}.${this._sequence.toString(36)}`
@@ -36,9 +36,9 @@
     return this._hash64(text) + this._hash32(text).toString(16).padStart(8, '0')
   }
 
-  /** The id shard that keeps a claim key or a job id. */
+  /** The id shard that stores a claim key or a job id. */
   public idShard (key: string): string {
-    const slice = this._hash32(key) % this._idShards
-    return `${ID_SHARD_PREFIX}${slice.toString().padStart(2, '0')}`
+    const shardNumber = this._hash32(key) % this._idShards
+    return `${ID_SHARD_PREFIX}${shardNumber.toString().padStart(2, '0')}`
   }
 }
--- a/src/common/requests/ClaimHolder.ts
+++ b/src/common/requests/ClaimHolder.ts
@@ -1,6 +1,6 @@
 /**
- * Names the process that holds a claim: its id and its incarnation, since a restarted process knows nothing of what the
- * earlier one held.
+ * Encodes the process that holds a claim as text: its id and its incarnation, because a restarted process does not know
+ * what its earlier incarnation held.
  */
 
 import type { IProcessIdentity } from '../Types.js'
@@ -17,6 +17,6 @@
 }
 
 export function parseHolder (name: string): IClaimHolder {
-  const at = name.lastIndexOf(SEPARATOR)
-  return { processId: name.slice(0, at), incarnation: Number(name.slice(at + 1)) }
+  const separatorIndex = name.lastIndexOf(SEPARATOR)
+  return { processId: name.slice(0, separatorIndex), incarnation: Number(name.slice(separatorIndex + 1)) }
 }
--- a/src/common/requests/HashTypes.ts
+++ b/src/common/requests/HashTypes.ts
@@ -1,5 +1,5 @@
 /**
- * The hash functions of xxhash-wasm that are used here, handed in because its module loads asynchronously.
+ * Types of the hash functions of xxhash-wasm, which are passed in because its module loads asynchronously.
  */
 
 export type Hash64 = (input: string) => string
--- a/src/common/requests/InFlightLimit.ts
+++ b/src/common/requests/InFlightLimit.ts
@@ -1,9 +1,9 @@
 /**
- * Bounds what a process holds for requests that have no answer yet, in number and in bytes of their bodies.
+ * Limits the requests in flight of a process, by their number and by the bytes of their bodies.
  *
- * Made for callers that send large bodies faster than upstreams take them. A bound on the number alone lets ten thousand
- * requests of a megabyte each fill the memory: one sees the process killed, and every request in it broken at once. What
- * goes over a bound is refused before its body is read, and told when to come back.
+ * When callers send large bodies faster than upstreams accept them, a limit on the number alone would let ten thousand
+ * requests of a megabyte each fill the memory: the process would be killed, and every request in it would fail. A request
+ * over a limit is refused before its body is read, and its caller is told when to retry.
  */
 
 import { err, ok } from 'neverthrow'
@@ -29,7 +29,7 @@
     return this._bytes
   }
 
-  /** Takes room for one request; call the function that it gives when the request has its answer. The error names the bound. */
+  /** Reserves capacity for one request. Call the returned function once the request has its answer. The error names the exceeded limit. */
   public take (bytes: number): Result<() => void, 'requests' | 'bytes'> {
     if (this._count >= this._bounds.maxInFlight) return err('requests')
     if (this._bytes + bytes > this._bounds.maxInFlightBytes) return err('bytes')
--- a/src/common/requests/RequestParser.ts
+++ b/src/common/requests/RequestParser.ts
@@ -1,5 +1,5 @@
 /**
- * Checks the headers of a caller's request. The first fault is told with the field's name; nothing runs.
+ * Validates the headers of a caller's request. The error names the first invalid field; the request does not run.
  */
 
 import { err, ok } from 'neverthrow'
@@ -21,10 +21,10 @@
 /** Printable ASCII without space, so that a name is safe in a log line, a URL and a claim key. */
 const NAME_PATTERN = /^[\x21-\x7e]+$/
 
-/** Headers as Node gives them: lower-case names. */
+/** Headers as Node.js provides them, with lower-case names. */
 export type RequestHeaders = Readonly<Record<string, string | readonly string[] | undefined>>
 
-/** Everything of a caller's request but the body. */
+/** A caller's request without its body. */
 export type IRequestHead = Omit<ICallerRequest, 'body'>
 
 export function parseRequestHead (service: string, headers: RequestHeaders): Result<IRequestHead, IBadInput> {
@@ -36,42 +36,42 @@
             service: name,
             caller,
             requestId,
-            contentType: single(headers['content-type']) ?? DEFAULT_CONTENT_TYPE,
+            contentType: joinValues(headers['content-type']) ?? DEFAULT_CONTENT_TYPE,
             ...(idempotent === undefined ? {} : { idempotent }),
             ...(deadlineMs === undefined ? {} : { deadlineMs })
           }))))))
 }
 
-/** Checks a name that a caller chose. */
+/** Validates a name that a caller chose. */
 export function parseName (value: string | readonly string[] | undefined, field: string): Result<string, IBadInput> {
-  const text = single(value)
-  if (text === undefined || text === '') return bad(field, 'is missing')
-  if (text.length > MAX_NAME_LENGTH) return bad(field, `is longer than ${MAX_NAME_LENGTH} characters`)
-  if (!NAME_PATTERN.test(text)) return bad(field, 'may only have printable ASCII characters without spaces')
+  const text = joinValues(value)
+  if (text === undefined || text === '') return invalidField(field, 'is missing')
+  if (text.length > MAX_NAME_LENGTH) return invalidField(field, `is longer than ${MAX_NAME_LENGTH} characters`)
+  if (!NAME_PATTERN.test(text)) return invalidField(field, 'may only contain printable ASCII characters without spaces')
   return ok(text)
 }
 
 function parseIdempotent (value: string | readonly string[] | undefined): Result<boolean | undefined, IBadInput> {
-  const text = single(value)
+  const text = joinValues(value)
   if (text === undefined) return ok(undefined)
-  if (text !== 'true' && text !== 'false') return bad(HEADER_IDEMPOTENT, 'must be true or false')
+  if (text !== 'true' && text !== 'false') return invalidField(HEADER_IDEMPOTENT, 'must be true or false')
   return ok(text === 'true')
 }
 
 function parseDeadline (value: string | readonly string[] | undefined): Result<number | undefined, IBadInput> {
-  const text = single(value)
+  const text = joinValues(value)
   if (text === undefined) return ok(undefined)
   const deadlineMs = /^\d{1,9}$/.test(text) ? Number(text) : NaN
   if (!(deadlineMs >= MIN_DEADLINE_MS && deadlineMs <= MAX_DEADLINE_MS)) {
-    return bad(HEADER_DEADLINE_MS, `must be a whole number of milliseconds from ${MIN_DEADLINE_MS} to ${MAX_DEADLINE_MS}`)
+    return invalidField(HEADER_DEADLINE_MS, `must be a whole number of milliseconds from ${MIN_DEADLINE_MS} to ${MAX_DEADLINE_MS}`)
   }
   return ok(deadlineMs)
 }
 
-function single (value: string | readonly string[] | undefined): string | undefined {
+function joinValues (value: string | readonly string[] | undefined): string | undefined {
   return typeof value === 'string' || value === undefined ? value : value.join(',')
 }
 
-function bad (field: string, message: string): Result<never, IBadInput> {
+function invalidField (field: string, message: string): Result<never, IBadInput> {
   return err({ status: 400, field, message })
 }
