--- a/src/common/routing/SchedulerRouter.test.ts
+++ b/src/common/routing/SchedulerRouter.test.ts
@@ -1,5 +1,5 @@
 /**
- * The choice among schedulers.
+ * How a gateway chooses a scheduler.
  */
 
 import test from 'ava'
@@ -10,7 +10,7 @@
 import type { IProfile } from '../config/Types.js'
 import type { ILoadSummary, IShardLoad } from '../protocol/Types.js'
 
-const NONE = { cores: 0, memoryBytes: 0, accelerators: 0 }
+const NO_RESOURCES = { cores: 0, memoryBytes: 0, accelerators: 0 }
 
 const PROFILE: IProfile = {
   name: 'urgent',
@@ -29,10 +29,10 @@
 }
 
 function shard (shardId: string, kind: IShardLoad['kind'], epoch: number, freeSlots: number): IShardLoad {
-  return { shardId, kind, epoch, freeSlots, totalSlots: 8, free: NONE, largestFree: NONE }
+  return { shardId, kind, epoch, freeSlots, totalSlots: 8, free: NO_RESOURCES, largestFree: NO_RESOURCES }
 }
 
-function summary (processId: string, region: string, freeSlots: number, waitMs = 0, more: Partial<ILoadSummary> = {}): ILoadSummary {
+function summary (processId: string, region: string, freeSlots: number, waitMs = 0, overrides: Partial<ILoadSummary> = {}): ILoadSummary {
   return {
     processId,
     incarnation: 1,
@@ -43,11 +43,12 @@
     shards: [shard(`runners/${processId}`, 'runners', 1, freeSlots)],
     expectedWaitMs: { urgent: waitMs, normal: waitMs, patient: waitMs },
     queued: 0,
-    ...more
+    ...overrides
   }
 }
 
-function route (summaries: readonly ILoadSummary[], profile = PROFILE, excluded: readonly string[] = []): ReadonlyArray<string | undefined> {
+function chooseRepeatedly (
+  summaries: readonly ILoadSummary[], profile = PROFILE, excluded: readonly string[] = []): ReadonlyArray<string | undefined> {
   const router = new SchedulerRouter('west', new SeededRandom(7))
   for (const each of summaries) router.noteSummary(each)
   const chosen = new Set<string | undefined>()
@@ -55,25 +56,25 @@
   return [...chosen].sort()
 }
 
-test('free places in the own region are used, in proportion, before anything else', (t) => {
-  t.deepEqual(route([summary('a', 'west', 4), summary('b', 'west', 4), summary('c', 'east', 400)]), ['a', 'b'])
+test('free slots in the same region are used before anything else, in proportion', (t) => {
+  t.deepEqual(chooseRepeatedly([summary('a', 'west', 4), summary('b', 'west', 4), summary('c', 'east', 400)]), ['a', 'b'])
 })
 
-test('another region gets work only when the wait saved is worth the bytes and the profile allows it', (t) => {
+test('work goes to another region only if the saved wait is worth the traffic and the profile allows it', (t) => {
   const busy = summary('a', 'west', 0, 250)
   const idle = summary('c', 'east', 4)
-  t.deepEqual(route([busy, idle]), ['c'])
-  t.deepEqual(route([busy, idle], { ...PROFILE, crossRegionGainMs: 300 }), ['a'])
-  t.deepEqual(route([busy, idle], { ...PROFILE, crossRegion: 'never' }), ['a'])
+  t.deepEqual(chooseRepeatedly([busy, idle]), ['c'])
+  t.deepEqual(chooseRepeatedly([busy, idle], { ...PROFILE, crossRegionGainMs: 300 }), ['a'])
+  t.deepEqual(chooseRepeatedly([busy, idle], { ...PROFILE, crossRegion: 'never' }), ['a'])
 })
 
-test('a scheduler that drains, was tried or has no runners gets nothing', (t) => {
-  const drains = summary('a', 'west', 4, 0, { draining: true })
+test('a scheduler that is draining, was already tried or has no runners gets no requests', (t) => {
+  const drainingScheduler = summary('a', 'west', 4, 0, { draining: true })
   const withoutRunners = summary('b', 'west', 0, 0, { shards: [shard('ids/00', 'ids', 1, 0)] })
-  t.deepEqual(route([drains, withoutRunners, summary('c', 'west', 4)], PROFILE, ['c']), [undefined])
+  t.deepEqual(chooseRepeatedly([drainingScheduler, withoutRunners, summary('c', 'west', 4)], PROFILE, ['c']), [undefined])
 })
 
-test('what was sent since the last summary counts, so that a burst does not all go to one place', (t) => {
+test('requests sent since the last summary count, so that a burst does not all go to one scheduler', (t) => {
   const router = new SchedulerRouter('west', new SeededRandom(7))
   router.noteSummary(summary('a', 'west', 8))
   router.noteSummary(summary('b', 'west', 8))
@@ -86,21 +87,23 @@
   t.deepEqual(sent, { a: 8, b: 8 })
 })
 
-test('when nothing is free, a small scheduler gets no more than its share', (t) => {
-  // At saturation all tell the same wait for urgent work, none. Drawn alike, a scheduler with two runners would get as
-  // much as one with eight, and urgent work would queue there though it needs a small part of the cell.
+test('when no slot is free, a small scheduler gets no more than its share', (t) => {
+  // At saturation all schedulers report the same wait for urgent work, zero. Drawn with equal chances, a scheduler with
+  // two runners would get as much as one with eight, and urgent work would queue there although it needs only a small
+  // part of the cell.
   const router = new SchedulerRouter('west', new SeededRandom(7))
-  const sized = (id: string, totalSlots: number): ILoadSummary => summary(id, 'west', 0, 0, { shards: [{ ...shard(id, 'runners', 1, 0), totalSlots }] })
-  router.noteSummary(sized('small', 16))
-  router.noteSummary(sized('large', 64))
+  const summaryWithSlots = (id: string, totalSlots: number): ILoadSummary =>
+    summary(id, 'west', 0, 0, { shards: [{ ...shard(id, 'runners', 1, 0), totalSlots }] })
+  router.noteSummary(summaryWithSlots('small', 16))
+  router.noteSummary(summaryWithSlots('large', 64))
   let small = 0
   for (let draw = 0; draw < 1000; draw++) small += Number(router.choose({ profile: PROFILE, excluded: new Set() }) === 'small')
   t.true(small > 150 && small < 250, `${small} of 1000`)
 })
 
-test('two processes claim a shard: the one with the higher epoch owns it', (t) => {
-  // A paused owner wakes up and goes on telling that it owns the shard, until its hosts refuse it. Requests that
-  // followed the older word would be refused one after the other.
+test('if two processes claim a shard, the one with the higher epoch owns it', (t) => {
+  // An owner that resumes after a pause still reports that it owns the shard, until its hosts refuse it. All requests
+  // that were sent to it because of that report would be refused.
   const router = new SchedulerRouter('west', new SeededRandom(7))
   router.noteSummary(summary('new', 'west', 1, 0, { shards: [shard('ids/00', 'ids', 5, 0)] }))
   router.noteSummary(summary('old', 'west', 1, 0, { shards: [shard('ids/00', 'ids', 4, 0)] }))
--- a/src/common/routing/SchedulerRouter.ts
+++ b/src/common/routing/SchedulerRouter.ts
@@ -1,5 +1,5 @@
 /**
- * A gateway's choice among schedulers, from the load that each tells about once a second.
+ * Chooses a scheduler for each request of a gateway, from the load that every scheduler reports about once a second.
  */
 
 import type { PriorityClass } from '../config/Types.js'
@@ -9,7 +9,7 @@
 
 interface ISchedulerView {
   readonly summary: ILoadSummary
-  /** Requests sent since that summary was made. */
+  /** Requests sent since that summary arrived. */
   sentSince: number
 }
 
@@ -21,10 +21,10 @@
 }
 
 /**
- * Made for many gateways that see loads up to a second old. Sending everything to the scheduler that looked best
- * would make all gateways send to the same one until the next summary: one sees waits swing between schedulers while
- * others idle. So free slots are drawn at random in proportion, less what this gateway has sent since; and when
- * nothing is free, the shorter wait of two drawn at random is taken, in proportion to their slots.
+ * Many gateways choose by load summaries that are up to a second old. If each sent everything to the least loaded
+ * scheduler, all gateways would choose the same one until the next summary: waits would swing between schedulers while
+ * others are idle. So a scheduler is drawn at random, weighted by its free slots less the requests that this gateway has
+ * sent since. When no slot is free, two are drawn, weighted by their slots, and the one with the shorter wait is chosen.
  */
 export class SchedulerRouter implements ISchedulerRouter {
   private readonly _views = new Map<string, ISchedulerView>()
@@ -55,7 +55,7 @@
       if (view.summary.region === this._region) local.push(candidate)
       else remote.push(candidate)
     }
-    return this._between(this._pick(local), this._pick(remote), request)?.processId
+    return this._chooseRegion(this._chooseCandidate(local), this._chooseCandidate(remote), request)?.processId
   }
 
   public ownerOf (shardId: string): string | undefined {
@@ -80,36 +80,36 @@
   }
 
   /**
-   * Stays in the region unless the profile allows a move and the wait saved is worth the bytes: callers pay for
-   * cross-region traffic by volume, and a small difference between two old summaries is noise.
+   * Prefers the local region unless the profile allows another one and the saved wait is worth the traffic: callers pay
+   * for cross-region traffic by volume, and a small difference between two old summaries is noise.
    */
-  private _between (local: ICandidate | undefined, remote: ICandidate | undefined, request: IRouteRequest): ICandidate | undefined {
+  private _chooseRegion (local: ICandidate | undefined, remote: ICandidate | undefined, request: IRouteRequest): ICandidate | undefined {
     if (remote === undefined || request.profile.crossRegion === 'never') return local
     if (local === undefined) return remote
     const savedMs = local.expectedWaitMs - remote.expectedWaitMs
     return savedMs > request.profile.crossRegionGainMs ? remote : local
   }
 
-  private _pick (candidates: readonly ICandidate[]): ICandidate | undefined {
+  private _chooseCandidate (candidates: readonly ICandidate[]): ICandidate | undefined {
     const free = candidates.filter((candidate) => candidate.freeSlots > 0 && candidate.expectedWaitMs === 0)
-    if (free.length > 0) return this._draw(free, (candidate) => candidate.freeSlots)
+    if (free.length > 0) return this._drawWeighted(free, (candidate) => candidate.freeSlots)
     return this._shorterOfTwo(candidates)
   }
 
-  /** The shorter wait of two, each drawn in proportion to its slots: with equal waits a small scheduler gets its share only. */
+  /** Draws two, weighted by slots, and returns the one with the shorter wait. With equal waits a small scheduler gets only its share. */
   private _shorterOfTwo (candidates: readonly ICandidate[]): ICandidate | undefined {
-    const first = this._draw(candidates, (candidate) => candidate.totalSlots)
-    const second = this._draw(candidates, (candidate) => candidate.totalSlots)
+    const first = this._drawWeighted(candidates, (candidate) => candidate.totalSlots)
+    const second = this._drawWeighted(candidates, (candidate) => candidate.totalSlots)
     if (first === undefined || second === undefined) return first
     return second.expectedWaitMs < first.expectedWaitMs ? second : first
   }
 
-  private _draw (candidates: readonly ICandidate[], weightOf: (candidate: ICandidate) => number): ICandidate | undefined {
-    const total = candidates.reduce((sum, candidate) => sum + weightOf(candidate), 0)
-    let left = this._random.next() * total
+  private _drawWeighted (candidates: readonly ICandidate[], weightOf: (candidate: ICandidate) => number): ICandidate | undefined {
+    const totalWeight = candidates.reduce((sum, candidate) => sum + weightOf(candidate), 0)
+    let remainingWeight = this._random.next() * totalWeight
     for (const candidate of candidates) {
-      left -= weightOf(candidate)
-      if (left < 0) return candidate
+      remainingWeight -= weightOf(candidate)
+      if (remainingWeight < 0) return candidate
     }
     return candidates.at(-1)
   }
--- a/src/common/routing/Types.ts
+++ b/src/common/routing/Types.ts
@@ -1,5 +1,5 @@
 /**
- * Where a gateway sends work: what it knows of each scheduler, and the choice among them. Free of I/O.
+ * How a gateway chooses the scheduler for a request. Does no I/O.
  */
 
 import type { IProfile } from '../config/Types.js'
@@ -12,15 +12,15 @@
 }
 
 export interface ISchedulerRouter {
-  /** Takes a scheduler's newest summary. */
+  /** Stores the newest load summary of a scheduler. */
   noteSummary (summary: ILoadSummary): void
-  /** Forgets a scheduler whose link was lost, until it is heard of again. */
+  /** Removes a scheduler whose link was lost, until its next summary. */
   forget (processId: string): void
-  /** Notes that work was sent, so that the next choice counts it before the next summary. */
+  /** Records that a request was sent, so that the next choices count it before the next summary arrives. */
   noteSent (processId: string): void
-  /** The scheduler to send a request to, or nothing when none may have it. */
+  /** Chooses the scheduler for a request; undefined if none can serve it. */
   choose (request: IRouteRequest): string | undefined
-  /** The process that owns a shard, by the highest epoch heard of. */
+  /** The process that owns a shard: the one that reported the highest epoch. */
   ownerOf (shardId: string): string | undefined
   summaries (): readonly ILoadSummary[]
 }
