--- a/src/common/config/ConfigCodec.ts
+++ b/src/common/config/ConfigCodec.ts
@@ -1,5 +1,6 @@
 /**
- * How configuration stands in the store: one JSON entry per thing, and its earlier revisions beside it.
+ * Encodes configuration for the store: one JSON entry for each profile, service and team, and separate keys for its earlier
+ * revisions.
  */
 
 import { err, ok } from 'neverthrow'
@@ -10,13 +11,13 @@
 import type { Result } from 'neverthrow'
 import type { ConfigKind, IConfigEntry } from './Types.js'
 
-/** All current entries stand below this key. */
+/** The key prefix of all current entries. */
 export const CONFIG_PREFIX = 'config/'
 const HISTORY_PREFIX = 'config-history/'
-/** Wide enough that the order of keys is the order of revisions. */
+/** Revisions in keys are padded to this width, so that keys sort in the order of revisions. */
 const REVISION_DIGITS = 10
 
-const ENTRY = z.strictObject({
+const ENTRY_SCHEMA = z.strictObject({
   kind: z.enum(CONFIG_KINDS),
   name: z.string().refine(isConfigName),
   revision: z.int().min(1),
@@ -43,7 +44,7 @@
   return JSON.stringify(entry)
 }
 
-/** Reads a store value. Never throws: what can't be understood is an error that names the key. */
+/** Decodes a store value. Never throws; the error names the key. */
 export function decodeEntry (key: string, text: string): Result<IConfigEntry, InvalidInputError> {
   try {
     return checkEntry(key, JSON.parse(text))
@@ -52,9 +53,9 @@
   }
 }
 
-/** Checks an entry of any origin, such as a peer of another version. */
+/** Validates an entry from any source, such as a peer that runs another version. */
 export function checkEntry (origin: string, entry: unknown): Result<IConfigEntry, InvalidInputError> {
-  const result = ENTRY.safeParse(entry)
+  const result = ENTRY_SCHEMA.safeParse(entry)
   if (!result.success) {
     const field = String(result.error.issues[0]?.path[0] ?? 'entry')
     return err(new InvalidInputError('config.decode', origin, field, 'is malformed'))
--- a/src/common/config/ConfigInvalidError.ts
+++ b/src/common/config/ConfigInvalidError.ts
@@ -1,18 +1,18 @@
 /**
- * What is wrong with a profile, service or team that an operator wants to put, all of it at once.
+ * The error for an invalid profile, service or team, which lists all invalid fields at once.
  */
 
 import { InvalidInputError } from '../Errors.js'
 
 export interface IFieldProblem {
   readonly field: string
-  /** What is allowed there. */
+  /** What is wrong or what is allowed, worded to follow the field's name, such as `must be true or false`. */
   readonly allowed: string
 }
 
-/** Nothing was changed; `problems` lists every field to mend. */
+/** Nothing was changed; `problems` lists every field to correct. */
 export class ConfigInvalidError extends InvalidInputError {
-  /** All problems in one line for people. */
+  /** All problems in one line of text. */
   public readonly summary: string
 
   public constructor (peer: string, public readonly problems: readonly IFieldProblem[]) {
--- a/src/common/config/ConfigReplica.ts
+++ b/src/common/config/ConfigReplica.ts
@@ -1,6 +1,6 @@
 /**
- * A process's copy of the configuration. Entries reach it from the store and from peers, in any order and more than
- * once; it keeps the highest revision of each thing, so that an old copy can't undo an accepted change.
+ * A process's copy of the configuration. Entries arrive from the store and from peers, in any order and possibly more than
+ * once. The replica keeps the highest revision of each entry, so that an old copy can't undo an accepted change.
  */
 
 import { RevisionDigest } from './RevisionDigest.js'
@@ -12,11 +12,11 @@
   private readonly _digest = new RevisionDigest()
 
   public apply (entries: readonly IConfigEntry[]): readonly IConfigEntry[] {
-    return entries.filter(entry => this._applyOne(entry))
+    return entries.filter(entry => this._applyEntry(entry))
   }
 
   public get (kind: ConfigKind, name: string): IConfigEntry | undefined {
-    return this._entries.get(keyOf(kind, name))
+    return this._entries.get(entryKey(kind, name))
   }
 
   public entries (): readonly IConfigEntry[] {
@@ -41,8 +41,8 @@
     return this._digest.toString()
   }
 
-  private _applyOne (entry: IConfigEntry): boolean {
-    const key = keyOf(entry.kind, entry.name)
+  private _applyEntry (entry: IConfigEntry): boolean {
+    const key = entryKey(entry.kind, entry.name)
     const known = this._entries.get(key)
     if (known !== undefined && known.revision >= entry.revision) return false
     this._digest.replace(key, known?.revision, entry.revision)
@@ -51,6 +51,6 @@
   }
 }
 
-function keyOf (kind: ConfigKind, name: string): string {
+function entryKey (kind: ConfigKind, name: string): string {
   return `${kind}/${name}`
 }
--- a/src/common/config/DefaultProfiles.ts
+++ b/src/common/config/DefaultProfiles.ts
@@ -1,6 +1,6 @@
 /**
- * The profiles that a new cell starts with. All count a request that doesn't say as non-idempotent: by omission
- * nothing is ever done twice.
+ * The profiles of a new cell. They treat a request as non-idempotent unless its caller says otherwise, so that no request
+ * runs twice by default.
  */
 
 import type { IProfile } from './Types.js'
@@ -8,7 +8,7 @@
 const SECOND_MS = 1000
 const MINUTE_MS = 60 * SECOND_MS
 
-/** Starts as soon as a place is free, before all other classes; given up soon, because a late answer is of no use. */
+/** Starts as soon as a slot is free, before all other classes. The deadline is short, because a late answer is useless. */
 export const URGENT_PROFILE: IProfile = {
   name: 'urgent',
   priorityClass: 'urgent',
@@ -25,7 +25,7 @@
   idempotentDefault: false
 }
 
-/** May wait for minutes, gives way to urgent work, and has a share of the capacity that no flood takes from it. */
+/** May wait for minutes and yields to urgent work, but keeps a guaranteed share of the capacity under any load. */
 export const PATIENT_PROFILE: IProfile = {
   name: 'patient',
   priorityClass: 'patient',
@@ -42,7 +42,7 @@
   idempotentDefault: false
 }
 
-/** Jobs whose tasks start together or not at all. */
+/** For jobs whose tasks start together or not at all. */
 export const ALL_AT_ONCE_PROFILE: IProfile = {
   name: 'all-at-once',
   priorityClass: 'normal',
--- a/src/common/config/ExampleServices.ts
+++ b/src/common/config/ExampleServices.ts
@@ -1,6 +1,6 @@
 /**
- * The services of two deployments as examples: which profile each picks, for which team. Work that may be repeated
- * runs under profiles that say so; a broadcast and a pivot start run under `urgent`, which does nothing twice.
+ * Example services of two deployments, each with its profile and team. Work that may be repeated uses an idempotent
+ * profile; a broadcast and a pivot start use `urgent`, which never runs a request twice.
  */
 
 import { PATIENT_PROFILE, URGENT_PROFILE } from './DefaultProfiles.js'
--- a/src/common/config/ProfileSchema.test.ts
+++ b/src/common/config/ProfileSchema.test.ts
@@ -1,3 +1,7 @@
+/**
+ * The validation of configuration, and the encoding of its entries.
+ */
+
 import test from 'ava'
 import fc from 'fast-check'
 import { decodeEntry, encodeEntry } from './ConfigCodec.js'
@@ -8,7 +12,7 @@
 
 const SEED = 20_261_202
 
-test('the defaults and the examples keep their own bounds, and the examples refer to what exists', t => {
+test('the default profiles and the examples are valid, and the examples refer to existing profiles and teams', t => {
   for (const profile of DEFAULT_PROFILES) t.true(checkConfigValue('profile', profile.name, profile).isOk())
   for (const example of [PAWPRINT_EXAMPLE, FRASER_EXAMPLE]) {
     const profiles = [...DEFAULT_PROFILES, ...example.profiles].map(profile => profile.name)
@@ -21,7 +25,7 @@
   }
 })
 
-test('names every field that breaks a bound at once', t => {
+test('an error names all invalid fields at once', t => {
   const { weight, ...rest } = URGENT_PROFILE
   const value = { ...rest, deadlineMs: 5, floorShare: Number.NaN, priorityClass: 'fast', speed: 9, name: 'other' }
   const error = checkConfigValue('profile', 'urgent', value)._unsafeUnwrapErr()
@@ -30,7 +34,7 @@
   t.is(checkConfigValue('profile', 'urgent', { ...URGENT_PROFILE, name: 'other' })._unsafeUnwrapErr().field, 'name')
 })
 
-test('any value gives a checked one or a clear error, and any stored text an entry or an error, never a crash', t => {
+test('any value passes or gives an error that lists problems, and stored text that is no entry gives an error, never an exception', t => {
   const broken = fc.record(Object.fromEntries(Object.keys(URGENT_PROFILE).map(key => [key, fc.anything()])), { requiredKeys: [] })
   const entry = fc.record({ kind: fc.constantFrom(...CONFIG_KINDS), name: fc.string(), revision: fc.integer(), value: broken })
   fc.assert(fc.property(fc.constantFrom(...CONFIG_KINDS), fc.oneof(fc.anything(), broken), entry, fc.string(), (kind, value, stored, text) => {
@@ -41,7 +45,7 @@
   t.pass()
 })
 
-test('an entry survives the store, a deletion too', t => {
+test('an entry, also of a deletion, is unchanged after encoding and decoding', t => {
   const base = { kind: 'profile', name: 'urgent', revision: 3, writer: 'w', nonce: 'n', changedAt: 1 } as const
   for (const entry of [{ ...base, deleted: false, value: URGENT_PROFILE }, { ...base, deleted: true }]) {
     t.deepEqual(decodeEntry('k', encodeEntry(entry))._unsafeUnwrap(), entry)
--- a/src/common/config/ProfileSchema.ts
+++ b/src/common/config/ProfileSchema.ts
@@ -1,5 +1,5 @@
 /**
- * The bounds of everything that operators configure, checked when it is put and again when it is read.
+ * The schemas of everything that operators configure. Values are validated when they are put and again when they are read.
  */
 
 import { err, ok } from 'neverthrow'
@@ -14,16 +14,16 @@
 
 export const CONFIG_KINDS = ['profile', 'service', 'team'] as const satisfies readonly ConfigKind[]
 
-/** Names stand in store keys and URLs, so they hold neither slashes nor blanks. */
+/** Names are parts of store keys and URLs, so they contain neither slashes nor spaces. */
 const NAME_PATTERN = /^[a-z0-9][a-z0-9._-]{0,62}$/
 const DAY_MS = 86_400_000
 const HOUR_MS = 3_600_000
 const MILLION = 1_000_000
 
-const NAME = z.string().regex(NAME_PATTERN)
+const NAME_SCHEMA = z.string().regex(NAME_PATTERN)
   .describe('must be 1 to 63 lower-case letters, digits, dots, dashes or underscores')
 
-const FLAG = z.boolean().describe('must be true or false')
+const FLAG_SCHEMA = z.boolean().describe('must be true or false')
 
 function number (min: number, max: number, unit: string) {
   return z.number().min(min).max(max).describe(`must be a number of ${unit} from ${min} to ${max}`)
@@ -33,39 +33,39 @@
   return z.int().min(min).max(max).describe(`must be a whole number of ${unit} from ${min} to ${max}`)
 }
 
-function oneOf<const T extends readonly [string, ...string[]]> (words: T) {
-  return z.enum(words).describe(`must be one of ${words.join(', ')}`)
+function oneOf<const T extends readonly [string, ...string[]]> (values: T) {
+  return z.enum(values).describe(`must be one of ${values.join(', ')}`)
 }
 
-const PROFILE = z.strictObject({
-  name: NAME,
+const PROFILE_SCHEMA = z.strictObject({
+  name: NAME_SCHEMA,
   priorityClass: oneOf(['urgent', 'normal', 'patient']),
   deadlineMs: wholeNumber(10, DAY_MS, 'milliseconds'),
   floorShare: number(0, 0.9, 'the whole capacity'),
   weight: number(0.01, 1000, 'shares'),
   maxRunning: wholeNumber(1, MILLION, 'requests and tasks'),
-  allAtOnce: FLAG,
+  allAtOnce: FLAG_SCHEMA,
   spread: oneOf(['none', 'failureDomain']),
   crossRegion: oneOf(['never', 'whenWorthIt']),
   crossRegionGainMs: wholeNumber(0, HOUR_MS, 'milliseconds'),
   maxRetries: wholeNumber(0, 10, 'further attempts'),
-  preemptible: FLAG,
-  idempotentDefault: FLAG
+  preemptible: FLAG_SCHEMA,
+  idempotentDefault: FLAG_SCHEMA
 })
 
-const SERVICE = z.strictObject({ name: NAME, profile: NAME, team: NAME })
+const SERVICE_SCHEMA = z.strictObject({ name: NAME_SCHEMA, profile: NAME_SCHEMA, team: NAME_SCHEMA })
 
-const TEAM = z.strictObject({
-  name: NAME,
+const TEAM_SCHEMA = z.strictObject({
+  name: NAME_SCHEMA,
   maxSlots: wholeNumber(1, MILLION, 'slots'),
   maxCores: number(0.1, 10 * MILLION, 'cores'),
   maxAccelerators: wholeNumber(0, MILLION, 'accelerators')
 })
 
-const SCHEMAS = { profile: PROFILE, service: SERVICE, team: TEAM } as const
+const SCHEMAS = { profile: PROFILE_SCHEMA, service: SERVICE_SCHEMA, team: TEAM_SCHEMA } as const
 
-/** All fields of a profile. */
-export const PROFILE_FIELDS = Object.keys(PROFILE.shape) as ReadonlyArray<keyof IProfile>
+/** The names of all fields of a profile. */
+export const PROFILE_FIELDS = Object.keys(PROFILE_SCHEMA.shape) as ReadonlyArray<keyof IProfile>
 
 export function isConfigKind (text: string): text is ConfigKind {
   return (CONFIG_KINDS as readonly string[]).includes(text)
@@ -75,14 +75,14 @@
   return NAME_PATTERN.test(text)
 }
 
-/** Checks a value of any origin. Never throws; the error names every field that breaks a bound. */
+/** Validates a value from any source. Never throws; the error names every invalid field. */
 export function checkConfigValue (kind: ConfigKind, name: string, value: unknown): Result<ConfigValue, ConfigInvalidError> {
   const result = SCHEMAS[kind].safeParse(value)
   const problems = result.success ? [] : result.error.issues.flatMap(issue => toProblems(kind, value, issue))
   if (result.success && result.data.name !== name) {
-    problems.push({ field: 'name', allowed: `must be ${name}, the name it is put under` })
+    problems.push({ field: 'name', allowed: `must be ${name}, the name that it is stored under` })
   }
-  if (!result.success || problems.length > 0) return err(new ConfigInvalidError(`${kind} ${name}`, onePerField(problems)))
+  if (!result.success || problems.length > 0) return err(new ConfigInvalidError(`${kind} ${name}`, keepOnePerField(problems)))
   return ok(result.data)
 }
 
@@ -99,7 +99,7 @@
   return [{ field, allowed: isMissing ? `is missing; it ${allowed}` : allowed }]
 }
 
-function onePerField (problems: readonly IFieldProblem[]): readonly IFieldProblem[] {
+function keepOnePerField (problems: readonly IFieldProblem[]): readonly IFieldProblem[] {
   const byField = new Map(problems.map(problem => [problem.field, problem]))
   return [...byField.values()]
 }
--- a/src/common/config/References.ts
+++ b/src/common/config/References.ts
@@ -1,7 +1,7 @@
 /**
- * What refers to what: a service to its profile and its team. Checked on an operator's edit against the process's own
- * copy, so that a misspelt name is refused at the edit and not found out by callers. Two racing edits can still
- * leave a reference open; a request of such a service is refused with the missing name.
+ * Checks the references of a service to its profile and its team. An operator's edit is checked against the process's own
+ * copy of the configuration, so that a misspelt name is refused at the edit, before it fails requests of callers. Two
+ * concurrent edits can still leave a dangling reference; a request to such a service is refused with the missing name.
  */
 
 import { err, ok } from 'neverthrow'
@@ -16,11 +16,11 @@
 export function checkReferences (
   replica: IConfigReplica, kind: ConfigKind, name: string, value: ConfigValue | undefined
 ): Result<void, ConfigInvalidError> {
-  const problems = value === undefined ? usesOf(replica, kind, name) : missingOf(replica, kind, value)
+  const problems = value === undefined ? findUses(replica, kind, name) : findMissingReferences(replica, kind, value)
   return problems.length === 0 ? ok(undefined) : err(new ConfigInvalidError(`${kind} ${name}`, problems))
 }
 
-function missingOf (replica: IConfigReplica, kind: ConfigKind, value: ConfigValue): readonly IFieldProblem[] {
+function findMissingReferences (replica: IConfigReplica, kind: ConfigKind, value: ConfigValue): readonly IFieldProblem[] {
   if (kind !== 'service') return []
   const { profile, team } = value as IServiceConfig
   const problems: IFieldProblem[] = []
@@ -29,7 +29,7 @@
   return problems
 }
 
-function usesOf (replica: IConfigReplica, kind: ConfigKind, name: string): readonly IFieldProblem[] {
+function findUses (replica: IConfigReplica, kind: ConfigKind, name: string): readonly IFieldProblem[] {
   if (kind === 'service') return []
   const services = replica.entries()
     .filter(entry => entry.kind === 'service' && !entry.deleted)
--- a/src/common/config/RevisionDigest.ts
+++ b/src/common/config/RevisionDigest.ts
@@ -1,7 +1,7 @@
 /**
- * A digest over the revisions of many things, kept up to date in constant time per change: the sum of one 64-bit hash
- * per thing, which doesn't depend on the order of changes. Two copies that differ in any revision have the same digest
- * with a chance of about 1 in 2^64.
+ * A digest of the revisions of many entries, updated in constant time per change. It is the sum of one 64-bit hash per
+ * entry, so it doesn't depend on the order of changes. Two copies that differ in any revision have the same digest with a
+ * probability of about 1 in 2^64.
  */
 
 const FNV_PRIME = 0x01000193
@@ -13,14 +13,14 @@
   private _low = 0
   private _high = 0
 
-  /** Takes the old revision of a thing out, if it had one, and the new one in. */
+  /** Removes the old revision of an entry, if it had one, and adds the new one. */
   public replace (key: string, oldRevision: number | undefined, newRevision: number): void {
     if (oldRevision !== undefined) this._add(`${key}@${oldRevision}`, -1)
     this._add(`${key}@${newRevision}`, 1)
   }
 
   public toString (): string {
-    return hex(this._high) + hex(this._low)
+    return toHex(this._high) + toHex(this._low)
   }
 
   private _add (text: string, sign: 1 | -1): void {
@@ -29,7 +29,7 @@
   }
 }
 
-/** FNV-1a with a final mix, so that keys that differ in one digit differ in all bits. */
+/** FNV-1a with a final mixing step, so that keys that differ in one digit differ in all bits of the hash. */
 function hash32 (text: string, seed: number): number {
   let hash = seed
   for (let i = 0; i < text.length; i++) hash = Math.imul(hash ^ text.charCodeAt(i), FNV_PRIME)
@@ -38,6 +38,6 @@
   return (hash ^ (hash >>> 16)) >>> 0
 }
 
-function hex (value: number): string {
+function toHex (value: number): string {
   return value.toString(16).padStart(HEX_DIGITS, '0')
 }
--- a/src/common/config/Types.ts
+++ b/src/common/config/Types.ts
@@ -1,5 +1,5 @@
 /**
- * What operators configure: profiles, the services that pick one, and the teams with their quotas.
+ * What operators configure: profiles, the services that use them, and the teams with their quotas.
  */
 
 import type { EpochMs } from '../Types.js'
@@ -8,19 +8,19 @@
 export type SpreadRule = 'none' | 'failureDomain'
 export type CrossRegionRule = 'never' | 'whenWorthIt'
 
-/** How a class of work is treated. Units and bounds are checked when an operator puts a profile. */
+/** How a class of work is scheduled. The bounds given below are checked when an operator puts a profile. */
 export interface IProfile {
   readonly name: string
   readonly priorityClass: PriorityClass
   /** The deadline for requests that state none, in milliseconds from arrival: 10 to 86,400,000. */
   readonly deadlineMs: number
-  /** The share of capacity this profile is sure of while it has work waiting: 0 to 0.9. */
+  /** The share of capacity that is guaranteed to this profile while it has work waiting: 0 to 0.9. */
   readonly floorShare: number
   /** Its weight against profiles of the same class: 0.01 to 1,000. */
   readonly weight: number
   /** The most requests and tasks of this profile that one scheduler runs at once: 1 to 1,000,000. */
   readonly maxRunning: number
-  /** Start every task of a job or none. */
+  /** Whether all tasks of a job start together or not at all. */
   readonly allAtOnce: boolean
   readonly spread: SpreadRule
   readonly crossRegion: CrossRegionRule
@@ -28,9 +28,9 @@
   readonly crossRegionGainMs: number
   /** Further attempts for idempotent work that failed: 0 to 10. */
   readonly maxRetries: number
-  /** Its tasks may be stopped to make room for urgent ones. */
+  /** Whether its tasks may be stopped to free capacity for urgent ones. */
   readonly preemptible: boolean
-  /** What a request counts as that does not say. */
+  /** Whether a request counts as idempotent if its caller does not say. */
   readonly idempotentDefault: boolean
 }
 
@@ -52,16 +52,16 @@
 
 export type ConfigKind = 'profile' | 'service' | 'team'
 
-/** One revision of one configured thing. A deletion is a revision too, so that it can't be undone by an older copy. */
+/** One revision of a profile, service or team. A deletion is a revision too, so that an older copy can't undo it. */
 export interface IConfigEntry {
   readonly kind: ConfigKind
   readonly name: string
-  /** Counts up by one with each accepted change of this thing. */
+  /** Increases by one with each accepted change. */
   readonly revision: number
   readonly deleted: boolean
   /** Absent when deleted. */
   readonly value?: IProfile | IServiceConfig | ITeamConfig
-  /** Who changed it, and a nonce, so that a writer recognises its own change after a lost answer. */
+  /** Who made the change. With the nonce, a writer recognises its own change when the answer of the store was lost. */
   readonly writer: string
   readonly nonce: string
   readonly changedAt: EpochMs
@@ -69,7 +69,7 @@
 
 /** A process's copy of the configuration. */
 export interface IConfigReplica {
-  /** Takes entries from the store or a peer; applies only higher revisions. Returns those applied. */
+  /** Applies the entries from the store or a peer with a higher revision than its own, and returns those. */
   apply (entries: readonly IConfigEntry[]): readonly IConfigEntry[]
   get (kind: ConfigKind, name: string): IConfigEntry | undefined
   entries (): readonly IConfigEntry[]
