--- a/src/common/observability/Counters.ts
+++ b/src/common/observability/Counters.ts
@@ -1,11 +1,11 @@
 /**
- * Numbers that only rise, by name and one label: how many answers of each kind, how many ends, how many takeovers.
+ * Monotonic counters by name and one label, such as the answers of each kind, job ends or takeovers.
  */
 
 export class Counters {
   private readonly _counts = new Map<string, Map<string, number>>()
 
-  /** @param label a word out of a fixed set, so that the table stays small */
+  /** @param label a value from a fixed set, so that the table stays small */
   public add (name: string, label: string, by = 1): void {
     const row = this._counts.get(name) ?? new Map<string, number>()
     row.set(label, (row.get(label) ?? 0) + by)
--- a/src/common/observability/DumpRegistry.ts
+++ b/src/common/observability/DumpRegistry.ts
@@ -1,6 +1,6 @@
 /**
- * The state dump of a process: its parts register sections, and an operator reads one or all. A dump is asked for when
- * something is wrong, so it must work then: it is bounded in size whatever a section holds, and a section that fails
+ * The state dump of a process: its components register sections, and an operator reads one or all of them. A dump is read
+ * when something is wrong, so it must work then: its size is limited whatever a section contains, and a section that fails
  * leaves the others readable.
  */
 
@@ -8,13 +8,13 @@
 
 import type { IDisposable } from '../Types.js'
 
-/** Gives the state of one part of the process; called only when a dump is asked for. */
+/** Returns the state of one component; called only when a dump is read. */
 export type DumpSection = () => unknown
 
 export class DumpRegistry {
   private readonly _sections = new Map<string, DumpSection>()
 
-  /** @param _maxBytes about the largest dump; sections share it evenly */
+  /** @param _maxBytes the approximate size limit of a dump, divided evenly among its sections */
   public constructor (private readonly _maxBytes: number) {}
 
   public register (name: string, section: DumpSection): IDisposable {
@@ -27,12 +27,12 @@
     return [...this._sections.keys()]
   }
 
-  /** The named section or all, as plain data; absent where there is no such section. */
+  /** Returns the named section, or all of them, as plain data; undefined if there is no such section. */
   public dump (name?: string): Readonly<Record<string, unknown>> | undefined {
     const names = name === undefined ? this.names() : [name]
-    if (names.some(each => !this._sections.has(each))) return undefined
+    if (names.some(sectionName => !this._sections.has(sectionName))) return undefined
     const maxBytes = this._maxBytes / Math.max(1, names.length)
-    return Object.fromEntries(names.map(each => [each, this._copy(each, maxBytes)]))
+    return Object.fromEntries(names.map(sectionName => [sectionName, this._copy(sectionName, maxBytes)]))
   }
 
   private _copy (name: string, maxBytes: number): unknown {
--- a/src/common/observability/ErrorFields.ts
+++ b/src/common/observability/ErrorFields.ts
@@ -1,5 +1,5 @@
 /**
- * The log fields of an error: its kind, step and peer, so that one line is enough to place a failure.
+ * The log fields of an error: its kind, step and peer, so that one line is enough to locate a failure.
  */
 
 import { StepError } from '../Errors.js'
--- a/src/common/observability/EventRateLimit.ts
+++ b/src/common/observability/EventRateLimit.ts
@@ -1,7 +1,7 @@
 /**
- * Bounds the log lines of each event. Made for the storm in which thousands of requests fail the same way in one
- * second: without a bound the process spends its time on writing the same line, and the first line, which tells the
- * cause, scrolls out of reach. What is left out is counted and told with the next line of that event.
+ * Limits the log lines of each event. When thousands of requests fail the same way in one second, a process without a limit
+ * would spend its time on writing the same line, and the first line, which shows the cause, would scroll out of reach.
+ * Suppressed lines are counted, and the next line of that event reports their number.
  */
 
 import type { IClock, MonotonicMs } from '../Types.js'
@@ -16,7 +16,7 @@
 
 export interface IRateDecision {
   readonly allowed: boolean
-  /** Lines of this event left out since the last one that was written. */
+  /** Lines of this event that were suppressed since the last one that was written. */
   readonly suppressed: number
 }
 
@@ -25,7 +25,7 @@
 
   public constructor (private readonly _clock: IClock, private readonly _maxLinesPerSecond: number) {}
 
-  /** Decides about one more line of this event. Event names are constants of the code, so the map is bounded. */
+  /** Decides whether one more line of this event is written. Event names are constants of the code, so the map is bounded. */
   public take (event: string): IRateDecision {
     const window = this._windowOf(event)
     if (window.lines >= this._maxLinesPerSecond) {
--- a/src/common/observability/LatencyHistogram.ts
+++ b/src/common/observability/LatencyHistogram.ts
@@ -1,6 +1,7 @@
 /**
- * Times in bounded memory by hdr-histogram-js: constant relative error from a microsecond to an hour. It is imported
- * from its inner module, because the package's entry loads a WebAssembly build that takes 12 MB of a daemon's 128.
+ * A latency histogram of bounded size, by hdr-histogram-js: constant relative error from a microsecond to an hour. The
+ * internal modules are imported, because the package's entry point loads a WebAssembly build that takes 12 MB of a daemon's
+ * 128 MB.
  */
 
 import histogramModule from 'hdr-histogram-js/dist/Int32Histogram.js'
@@ -10,11 +11,11 @@
 const { default: RecordedValuesIterator } = iteratorModule
 
 const MICROS_PER_MS = 1000
-/** Longer times count as this one. */
+/** Longer times are recorded as this one. */
 const MAX_MICROS = 3600 * 1000 * MICROS_PER_MS
 const MAX_COUNT = 0x7fffffff
 
-/** One non-empty bucket: times up to `upToMs`, and above the bucket before. */
+/** A non-empty bucket: times up to `upToMs` that are above the previous bucket. */
 export interface ILatencyBucket {
   readonly upToMs: number
   readonly count: number
@@ -28,7 +29,7 @@
   readonly maxMs: number
 }
 
-/** Errs by up to 6% in 2.9 KB; a second digit would take 14 KB, which is too much for one in each row of a table. */
+/** One digit has an error of up to 6% and takes 2.9 KB. A second one would take 14 KB, too much for each row of a table. */
 const SIGNIFICANT_DIGITS = 1
 
 export class LatencyHistogram {
@@ -38,12 +39,12 @@
     return this._histogram.totalCount
   }
 
-  /** The memory of the counts, in bytes. */
+  /** The memory that the counts take, in bytes. */
   public get footprintBytes (): number {
     return this._histogram.estimatedFootprintInBytes
   }
 
-  /** Counts one time; negative ones, which a clock may give, count as 0. */
+  /** Records one time; negative times, which a clock may produce, count as 0. */
   public record (ms: number): void {
     if (this.count === MAX_COUNT || Number.isNaN(ms)) return
     const micros = Math.round(ms * MICROS_PER_MS)
@@ -65,7 +66,7 @@
     }
   }
 
-  /** The non-empty buckets in rising order; lists of several processes can be merged by adding counts. */
+  /** The non-empty buckets in ascending order. Lists of several processes can be merged by adding the counts. */
   public buckets (): readonly ILatencyBucket[] {
     const buckets: ILatencyBucket[] = []
     const iterator = new RecordedValuesIterator(this._histogram)
--- a/src/common/observability/LatencyTable.ts
+++ b/src/common/observability/LatencyTable.ts
@@ -1,18 +1,18 @@
 /**
- * Times by name, such as the service time of each service; the number of names is bounded.
+ * Latency histograms by name, such as the service time of each service. The number of names is limited.
  */
 
 import { LatencyHistogram } from './LatencyHistogram.js'
 
 import type { ILatencySummary } from './LatencyHistogram.js'
 
-/** Where times go whose name came after the table was full. */
+/** Collects the times of names that came after the table was full. */
 const OTHER_NAMES = 'others'
 
 export class LatencyTable {
   private readonly _histograms = new Map<string, LatencyHistogram>()
 
-  /** @param _maxNames names with times of their own, 2.9 KB each */
+  /** @param _maxNames how many names get a histogram of their own, 2.9 KB each */
   public constructor (private readonly _maxNames: number) {}
 
   public record (name: string, ms: number): void {
--- a/src/common/observability/MetricsText.test.ts
+++ b/src/common/observability/MetricsText.test.ts
@@ -1,9 +1,13 @@
+/**
+ * The text format of metrics.
+ */
+
 import test from 'ava'
 import { Counters } from './Counters.js'
 import { LatencyTable } from './LatencyTable.js'
 import { renderMetrics } from './MetricsText.js'
 
-test('counters, times and gauges come out one sample a line', (t) => {
+test('counters, latencies and gauges are written one sample a line', (t) => {
   const counters = new Counters()
   counters.add('caller_answers', 'accepted')
   counters.add('caller_answers', 'accepted', 2)
--- a/src/common/observability/Observability.test.ts
+++ b/src/common/observability/Observability.test.ts
@@ -1,3 +1,7 @@
+/**
+ * Histograms, outcome counters, process metrics and state dumps.
+ */
+
 import test from 'ava'
 import fc from 'fast-check'
 import { ManualClock } from '../Clock.js'
@@ -8,7 +12,7 @@
 import { ProcessMetrics } from './ProcessMetrics.js'
 
 const SEED = 20_261_202
-const HIGH_ERROR = 0.07
+const MAX_RELATIVE_ERROR = 0.07
 
 test('percentiles are close to those of a sorted list, and buckets add up', t => {
   fc.assert(fc.property(fc.array(fc.double({ min: 0.001, max: 3_600_000, noNaN: true }), { minLength: 1, maxLength: 200 }), times => {
@@ -16,19 +20,19 @@
     for (const ms of times) histogram.record(ms)
     const sorted = times.toSorted((a, b) => a - b)
     const p90 = sorted[Math.ceil(sorted.length * 0.9) - 1] ?? 0
-    t.true(Math.abs(histogram.summary().p90Ms - p90) <= p90 * HIGH_ERROR + 0.001, `${histogram.summary().p90Ms} for ${p90}`)
+    t.true(Math.abs(histogram.summary().p90Ms - p90) <= p90 * MAX_RELATIVE_ERROR + 0.001, `${histogram.summary().p90Ms} for ${p90}`)
     t.is(histogram.buckets().reduce((sum, bucket) => sum + bucket.count, 0), times.length)
   }), { seed: SEED, numRuns: 200 })
 })
 
-test('odd times are taken without an error', t => {
+test('negative and very long times are recorded, and NaN is ignored', t => {
   const histogram = new LatencyHistogram()
   for (const ms of [-5, Number.NaN, Infinity, 1e12]) histogram.record(ms)
   t.is(histogram.count, 3)
   t.true(histogram.footprintBytes < 3000)
 })
 
-test('a late completion is counted apart, each other outcome by its name', t => {
+test('a late completion is counted separately, every other outcome under its name', t => {
   const counters = new OutcomeCounters(10)
   for (const late of [false, true, true]) counters.noteOutcome('chip-lookup', 'shelter-1', { outcome: 'done', waitMs: 3 }, late)
   for (const outcome of ['refused', 'notRun', 'unknown'] as const) counters.noteOutcome('chip-lookup', 'shelter-1', { outcome }, true)
@@ -38,9 +42,9 @@
   t.deepEqual(counters.rows('pivot-stop'), [])
 })
 
-// A client makes up a new caller name for each request. The table stays small, the callers that come back keep their
-// rows, and no outcome goes missing from the sums.
-test('made-up callers end in one row and take nobody else out of the table', t => {
+// A client uses a new caller name for each request. The table must stay small, callers that return must keep their rows,
+// and the sums must include every outcome.
+test('made-up callers are merged into one row and evict no other caller from the table', t => {
   const counters = new OutcomeCounters(10)
   for (let i = 0; i < 1000; i++) {
     for (const caller of [`made-up-${i}`, 'regular']) counters.noteOutcome('s', caller, { outcome: 'done', waitMs: 1 }, false)
@@ -52,13 +56,13 @@
   t.is(rows.reduce((sum, row) => sum + row.completed, 0), 2000)
 })
 
-test('a table of times takes a bounded number of names', t => {
+test('a latency table holds a limited number of names', t => {
   const table = new LatencyTable(2)
   for (const name of ['a', 'b', 'c', 'd', 'a']) table.record(name, 5)
   t.deepEqual(Object.entries(table.summaries()).map(([name, { count }]) => [name, count]), [['a', 2], ['b', 1], ['others', 2]])
 })
 
-test('process metrics give rates over the last samples and the latest timer', t => {
+test('process metrics report rates over the last samples and the largest timer delay', t => {
   const clock = new ManualClock()
   let storeCalls = 0
   const zero = () => 0
@@ -84,7 +88,7 @@
   metrics.dispose()
 })
 
-test('a dump keeps its bound and is JSON whatever the sections hold', t => {
+test('a dump stays within its size limit and is valid JSON whatever the sections contain', t => {
   const endless: Record<string, unknown> = { bytes: new Uint8Array(9), at: 1n, none: undefined, big: Infinity, tags: new Set([1]) }
   endless['self'] = endless
   const registry = new DumpRegistry(20_000)
@@ -103,7 +107,7 @@
   t.is(registry.dump('nope'), undefined)
 })
 
-test('any value can be dumped within the bound', t => {
+test('any value can be dumped within the size limit', t => {
   fc.assert(fc.property(fc.anything({ withMap: true, withSet: true, withBigInt: true, withDate: true, maxDepth: 20 }), value => {
     const registry = new DumpRegistry(1000)
     registry.register('any', () => value)
--- a/src/common/observability/ProcessMetrics.ts
+++ b/src/common/observability/ProcessMetrics.ts
@@ -1,5 +1,5 @@
 /**
- * What a process costs: processor, memory, traffic and store calls, sampled at a fixed period.
+ * The resource usage of a process: processor, memory, traffic and store calls, sampled at a fixed period.
  */
 
 import type { IClock, IDisposable, ITimers, MonotonicMs } from '../Types.js'
@@ -7,9 +7,9 @@
 
 const SECOND_MS = 1000
 const MICROS_PER_MS = 1000
-/** Also how long a stall must last to be seen for certain. */
+/** The time between two samples. A stall of the event loop is certain to be noticed only if it lasts this long. */
 export const SAMPLE_PERIOD_MS = 1000
-/** Rates are over so many samples. */
+/** How many samples rates are computed over. */
 const SAMPLES_PER_PERIOD = 10
 
 interface ISample {
@@ -30,14 +30,14 @@
 
   public constructor (private readonly _clock: IClock & ITimers, private readonly _readings: IProcessReadings) {
     this._startedAtMs = _clock.nowMs()
-    this._samples = [this._read(0)]
-    this._timer = _clock.every(SAMPLE_PERIOD_MS, () => this._sample())
+    this._samples = [this._takeSample(0)]
+    this._timer = _clock.every(SAMPLE_PERIOD_MS, () => this._addSample())
   }
 
   public current (): IProcessMetrics {
     const readings = this._readings
-    const now = this._read(0)
-    const perSecond = (of: (sample: ISample) => number) => this._rate(now, of)
+    const now = this._takeSample(0)
+    const perSecond = (readingOf: (sample: ISample) => number) => this._rate(now, readingOf)
     return {
       uptimeMs: now.atMs - this._startedAtMs,
       processorShare: perSecond(sample => sample.processorMicros) / (SECOND_MS * MICROS_PER_MS),
@@ -57,20 +57,20 @@
     this._timer.dispose()
   }
 
-  private _sample (): void {
+  private _addSample (): void {
     const lastAtMs = this._samples.at(-1)?.atMs ?? this._startedAtMs
     const delayMs = this._clock.nowMs() - lastAtMs - SAMPLE_PERIOD_MS
-    this._samples.push(this._read(Math.max(0, delayMs)))
+    this._samples.push(this._takeSample(Math.max(0, delayMs)))
     if (this._samples.length > SAMPLES_PER_PERIOD) this._samples.shift()
   }
 
-  private _rate (now: ISample, of: (sample: ISample) => number): number {
-    const first = this._samples[0] ?? now
-    const elapsedMs = now.atMs - first.atMs
-    return elapsedMs === 0 ? 0 : (of(now) - of(first)) / elapsedMs * SECOND_MS
+  private _rate (now: ISample, readingOf: (sample: ISample) => number): number {
+    const oldest = this._samples[0] ?? now
+    const elapsedMs = now.atMs - oldest.atMs
+    return elapsedMs === 0 ? 0 : (readingOf(now) - readingOf(oldest)) / elapsedMs * SECOND_MS
   }
 
-  private _read (delayMs: number): ISample {
+  private _takeSample (delayMs: number): ISample {
     const readings = this._readings
     return {
       atMs: this._clock.nowMs(),
--- a/src/common/observability/Types.ts
+++ b/src/common/observability/Types.ts
@@ -1,5 +1,5 @@
 /**
- * What a process tells its operators: log events, counters and dumps.
+ * What a process reports to its operators: log events, counters and metrics.
  */
 
 import type { ILatencyBucket } from './LatencyHistogram.js'
@@ -7,15 +7,15 @@
 export const LOG_LEVELS = ['debug', 'info', 'warn', 'error'] as const
 export type LogLevel = typeof LOG_LEVELS[number]
 
-/** What a log line may carry: plain values only. Bodies, tokens and keys never go into a log. */
+/** The value of a log field: plain values only. Bodies, tokens and keys are never logged. */
 export type LogValue = string | number | boolean | undefined | readonly string[] | readonly number[]
 
 export interface ILogFields {
   readonly requestId?: string | undefined
   readonly attemptId?: string | undefined
-  /** What was being done. */
+  /** The operation, for example `store.compareAndSwap`. */
   readonly step?: string | undefined
-  /** The process, host or service it was done with. */
+  /** The process, host or service that the operation addressed. */
   readonly peer?: string | undefined
   readonly durationMs?: number | undefined
   readonly [field: string]: LogValue
@@ -29,7 +29,7 @@
   error (event: string, fields?: ILogFields): void
 }
 
-/** What a service gave to one caller since the process started. */
+/** How the requests of one caller to a service ended, since the process started. */
 export interface IOutcomeRow {
   readonly service: string
   /** `others` stands for all callers that have no row of their own. */
@@ -39,11 +39,11 @@
   readonly refused: number
   readonly notRun: number
   readonly unknown: number
-  /** Waiting times of what was dispatched. */
+  /** Waiting times of dispatched requests. */
   readonly waitBuckets: readonly ILatencyBucket[]
 }
 
-/** Counters of the process that only rise, and its memory; read when a sample is taken. */
+/** Monotonic counters of the process and its memory, read when a sample is taken. */
 export interface IProcessReadings {
   /** Processor time used so far, user and system, in microseconds. */
   processorMicros (): number
@@ -54,13 +54,13 @@
   storeCalls (): number
 }
 
-/** What the process itself costs. Rates are over the last sampling period. */
+/** The resource usage of the process. Rates are over the last sampling period. */
 export interface IProcessMetrics {
   readonly uptimeMs: number
-  /** Of one core: 0.02 is 2%. */
+  /** The share of one core: 0.02 is 2%. */
   readonly processorShare: number
   readonly residentBytes: number
-  /** The latest that a timer fired after its time, in the last period. */
+  /** The largest delay of a timer in the last sampling period. */
   readonly eventLoopDelayMs: number
   readonly peerSentBytes: number
   readonly peerReceivedBytes: number
