--- a/src/common/AwakeClock.ts
+++ b/src/common/AwakeClock.ts
@@ -1,19 +1,19 @@
 /**
- * Time during which this process was itself awake, for deciding about the silence of others.
+ * A clock that counts only the time in which this process ran, to judge how long peers have been silent.
  */
 
 import type { IClock, MonotonicMs } from './Types.js'
 
-/** A tick that comes later than this many periods counts as this many: the rest was our own pause. */
+/** The most periods that one tick adds: any longer delay is a pause of this process. */
 const MAX_PERIODS_PER_TICK = 1.5
 
 /**
- * A clock that stands still while the process is paused.
+ * A clock that stops while the process is paused.
  *
- * A process that was stopped or starved for ten seconds wakes up, and by the wall every peer has been silent for as
- * long, although what they sent waits unread in its sockets. It would drop all links at once, and one would see
- * every request through it fail after each pause. Here a tick adds little more than its period, however late it
- * comes, and the sockets are read before the next one.
+ * When a process resumes after it was stopped or starved for ten seconds, the system clock says that every peer has been
+ * silent for that long, although their messages wait unread in its sockets. It would drop all links at once, and every
+ * request through it would fail after each pause. Here a tick adds little more than one period, however late it comes,
+ * and the sockets are read before the next tick.
  */
 export class AwakeClock {
   private _awakeMs = 0
@@ -27,7 +27,7 @@
     return this._awakeMs
   }
 
-  /** To be called every period. */
+  /** Must be called once per period. */
   public tick (): void {
     const nowMs = this._clock.nowMs()
     this._awakeMs += Math.min(nowMs - this._lastTickMs, this._periodMs * MAX_PERIODS_PER_TICK)
--- a/src/common/Clock.test.ts
+++ b/src/common/Clock.test.ts
@@ -1,12 +1,12 @@
 /**
- * The clock that tests move by hand.
+ * The manual clock for tests.
  */
 
 import test from 'ava'
 
 import { ManualClock } from './Clock.js'
 
-test('timers fire in order of time and see the time at which they were due', (t) => {
+test('timers fire in the order of their due times and see the time at which they were due', (t) => {
   const clock = new ManualClock()
   const seen: number[] = []
   clock.after(30, () => seen.push(clock.nowMs()))
--- a/src/common/Clock.ts
+++ b/src/common/Clock.ts
@@ -1,10 +1,10 @@
 /**
- * Time for production and for tests: the real clock, and one that a test moves by hand.
+ * Clocks with timers: the system clock, and a manual clock for tests.
  */
 
 import type { EpochMs, IClock, IDisposable, ITimers, MonotonicMs } from './Types.js'
 
-/** The machine's clock and timers. */
+/** The clock and timers of the system. */
 export class SystemClock implements IClock, ITimers {
   public nowMs (): MonotonicMs {
     return performance.now()
@@ -31,7 +31,7 @@
   readonly callback: () => void
 }
 
-/** A clock for tests: time stands still until `advance` moves it, which also fires what is due, in order. */
+/** A clock for tests. Time passes only when `advance` is called, which fires the timers that are due, in order. */
 export class ManualClock implements IClock, ITimers {
   private _nowMs = 0
   private readonly _timers = new Set<IManualTimer>()
--- a/src/common/Emitter.ts
+++ b/src/common/Emitter.ts
@@ -1,5 +1,5 @@
 /**
- * Typed events: an owner fires, listeners register through `event` and dispose what they get back.
+ * Typed events: the owner calls `fire`; listeners register through `event` and dispose its result to unregister.
  */
 
 import type { IDisposable } from './Types.js'
@@ -24,7 +24,7 @@
   }
 }
 
-/** Disposes many things as one; for an owner with several registrations. */
+/** Holds several disposables, such as the registrations of one owner, and disposes them together. */
 export class DisposableStore implements IDisposable {
   private readonly _items: IDisposable[] = []
 
--- a/src/common/Random.ts
+++ b/src/common/Random.ts
@@ -9,7 +9,7 @@
 
 const RESOLUTION = 0x7fffffff
 
-/** A seeded generator; the production binaries seed it from the system's random source. */
+/** A seeded generator. In production the seed comes from the system's random source. */
 export class SeededRandom implements IRandom {
   private readonly _generator: RandomGenerator
 
--- a/src/common/Types.ts
+++ b/src/common/Types.ts
@@ -1,14 +1,14 @@
 /**
- * The vocabulary that every layer shares: identities, resources, time and the final answer of a request.
+ * Types that all layers share: identities, resources, time and the final answer of a request.
  */
 
-/** Milliseconds from a clock that only moves forward; comparable within one process only. */
+/** Milliseconds of a monotonic clock; comparable within one process only. */
 export type MonotonicMs = number
 
-/** Milliseconds since the Unix epoch, as `Date.now()` gives them; for people and for records that outlive a process. */
+/** Milliseconds since the Unix epoch, as `Date.now()` returns; for display and for records that outlive a process. */
 export type EpochMs = number
 
-/** Where time comes from. Passed in, so that decisions run in a test without waiting. */
+/** A source of time. It is passed in, so that tests run time-dependent decisions without waiting. */
 export interface IClock {
   /** Monotonic time in milliseconds, with fractions. */
   nowMs (): MonotonicMs
@@ -21,7 +21,7 @@
   dispose (): void
 }
 
-/** Timers, passed in beside the clock. */
+/** Timers, passed in like the clock. */
 export interface ITimers {
   /** Calls back once, after `delayMs`. */
   after (delayMs: number, callback: () => void): IDisposable
@@ -34,27 +34,27 @@
   next (): number
 }
 
-/** Where a process or a host stands. */
+/** The location of a process or a host. */
 export interface ILocation {
   readonly region: string
   readonly failureDomain: string
 }
 
-/** One identity of a process: a restart keeps `processId` and raises `incarnation`. */
+/** The identity of a process: a restart keeps `processId` and raises `incarnation`. */
 export interface IProcessIdentity extends ILocation {
   readonly processId: string
-  /** Wall-clock start of the process in milliseconds, so that a restart compares higher. */
+  /** Wall-clock time of the process start in milliseconds, so that a restart gets a higher number. */
   readonly incarnation: number
 }
 
-/** What a task needs or a host has. */
+/** The resources that a task needs or that a host has. */
 export interface IResources {
   readonly cores: number
   readonly memoryBytes: number
   readonly accelerators: number
 }
 
-/** How a request ended, in one form for callers, operators and records. */
+/** How a request ended, in the same form for callers, operators and records. */
 export type FinalOutcome = 'done' | 'refused' | 'notRun' | 'unknown'
 
 /** The reasons that accompany an outcome other than `done`. */
@@ -67,15 +67,15 @@
   readonly outcome: FinalOutcome
   /** Set unless the outcome is `done`. */
   readonly reason?: OutcomeReason
-  /** One sentence for a person. */
+  /** One sentence that explains the outcome to people. */
   readonly detail?: string
-  /** When to come back, in milliseconds from now; set for `refused` and `notRun`. */
+  /** When to retry, in milliseconds from now; set for `refused` and `notRun`. */
   readonly retryAfterMs?: number
   /** The upstream's HTTP status; set for `done`. */
   readonly status?: number
   readonly contentType?: string
   readonly body?: Uint8Array
-  /** The host that ran it or may have run it. */
+  /** The host that ran the request or may have run it. */
   readonly upstream?: string
   readonly region?: string
   /** From arrival at the scheduler to dispatch, in milliseconds. */
