--- a/src/daemon/DaemonArguments.ts
+++ b/src/daemon/DaemonArguments.ts
@@ -1,5 +1,6 @@
 /**
- * The arguments of a daemon. yargs adds about 13 MB to a process, so it is loaded only for what is no plain start.
+ * Parses the arguments of a daemon. yargs adds about 13 MB to a process, so it is loaded only if the arguments are other than
+ * `--config FILE`.
  */
 
 import { basename } from 'node:path'
@@ -8,7 +9,7 @@
 const CONFIG_FLAG = '--config'
 const EXIT_USAGE = 2
 
-/** The path of the settings file. Prints help or version, or what is wrong, and ends the process where that is asked. */
+/** Returns the path of the settings file. Prints the help, the version or a usage error instead, and exits, if the arguments say so. */
 export async function readConfigPath (script: string, args: readonly string[]): Promise<string> {
   const [flag, path] = args
   if (args.length === 2 && flag === CONFIG_FLAG && path !== undefined) return path
--- a/src/daemon/DaemonCore.ts
+++ b/src/daemon/DaemonCore.ts
@@ -1,6 +1,6 @@
 /**
- * What a gateway and a scheduler have in common: settings in, then clock, log, links, store, configuration and the
- * knowledge of the other processes.
+ * The parts that the gateway and the scheduler process have in common: clock, log, links, store client, configuration,
+ * membership and the routing to schedulers.
  */
 
 import { randomBytes, randomInt } from 'node:crypto'
@@ -23,7 +23,7 @@
 import type { ISettings } from '../runtime/settings/Types.js'
 
 const MAX_SEED = 0x7fffffff
-const CONFIG_RETRY_MS = 1000
+const CONFIG_RETRY_INTERVAL_MS = 1000
 const NONCE_BYTES = 9
 
 export class DaemonCore {
@@ -38,22 +38,22 @@
   public readonly attemptIds: AttemptIds
   public readonly watcher: ConfigWatcher
   private _agent: MembershipAgent | undefined
-  private readonly _exchange: ConfigExchange
+  private readonly _configExchange: ConfigExchange
 
   private constructor (public readonly settings: ISettings, public readonly self: IProcessIdentity, public readonly hasher: IdHasher) {
     const { clock, random } = this
     this.log = new Logger(clock, { processId: self.processId, level: settings.log.level, maxLinesPerSecond: settings.log.maxLinesPerSecond })
-    this.hub = new PeerHub(self, peerOptions(settings), { clock, timers: clock, random, log: this.log })
+    this.hub = new PeerHub(self, peerOptionsOf(settings), { clock, timers: clock, random, log: this.log })
     this.store = new KeyValueClient({ ...KEY_VALUE_DEFAULTS, url: settings.store.url, callTimeoutMs: settings.store.callTimeoutMs }, clock, random)
     this.router = new SchedulerRouter(self.region, random)
     this.attemptIds = new AttemptIds(self)
     this.watcher = new ConfigWatcher(this.store, this.config, clock, this.log, {
-      retryMs: CONFIG_RETRY_MS,
-      fetchPeerEntries: async () => await this._exchange.entriesOfPeers()
+      retryMs: CONFIG_RETRY_INTERVAL_MS,
+      fetchPeerEntries: async () => await this._configExchange.fetchPeerEntries()
     })
-    this._exchange = this.disposables.add(new ConfigExchange(this.hub, this.config, this.watcher, clock))
+    this._configExchange = this.disposables.add(new ConfigExchange(this.hub, this.config, this.watcher, clock))
     this.disposables.add(this.watcher)
-    this._followLoad()
+    this._trackPeerLoad()
   }
 
   public static async create (settings: ISettings): Promise<DaemonCore> {
@@ -71,19 +71,19 @@
     return core
   }
 
-  /** Where peers reach this process. */
+  /** The URL at which peers connect to this process. */
   public get peerUrl (): string {
     const { advertise } = this.settings.peer
     return advertise === undefined ? this.hub.url ?? '' : `ws://${advertise.ip}:${advertise.port}`
   }
 
-  /** Who is there, as the store, the links and the peers tell. */
+  /** The agent that tracks the members of the cell by what the store, the links and the peers report. */
   public get agent (): MembershipAgent {
-    if (this._agent === undefined) throw new Error('join comes first')
+    if (this._agent === undefined) throw new Error('the membership agent exists only after join()')
     return this._agent
   }
 
-  /** Becomes known to the others and looks for them. */
+  /** Announces this process to the other members and starts to discover them. */
   public join (operatorUrl: string): void {
     const { clock, random, log, settings } = this
     const own: Omit<IMember, 'state'> = { ...this.self, role: settings.process.role, peerUrl: this.peerUrl, operatorUrl }
@@ -92,18 +92,18 @@
     this._agent.start()
   }
 
-  /** Unique for each write of this process, so that it recognises its own after a lost answer. */
-  public nonce (): string {
+  /** Returns a unique value for each write, so that this process recognises its own write if the store's answer was lost. */
+  public createNonce (): string {
     return randomBytes(NONCE_BYTES).toString('base64url')
   }
 
-  private _followLoad (): void {
+  private _trackPeerLoad (): void {
     this.disposables.add(this.hub.listen('loadSummary', (summary) => this.router.noteSummary(summary)))
     this.disposables.add(this.hub.onLost((peer) => this.router.forget(peer.processId)))
   }
 }
 
-function peerOptions (settings: ISettings): ConstructorParameters<typeof PeerHub>[1] {
+function peerOptionsOf (settings: ISettings): ConstructorParameters<typeof PeerHub>[1] {
   const { listen, sharedKey, heartbeatMs, silenceMs, maxMessageBytes } = settings.peer
   return { listenIp: listen.ip, listenPort: listen.port, sharedKey, heartbeatMs, silenceLimitMs: silenceMs, maxFrameBytes: maxMessageBytes }
 }
--- a/src/daemon/JobSide.ts
+++ b/src/daemon/JobSide.ts
@@ -1,5 +1,6 @@
 /**
- * The jobs of a scheduler process: its decision engine for resources, its workers, and the jobs of its id shards.
+ * The parts of a scheduler process that handle jobs: the decision engine for resources, the pool of workers, the task service, and
+ * the jobs of the id shards that this process owns.
  */
 
 import { DecisionEngine } from '../common/policy/DecisionEngine.js'
@@ -23,12 +24,14 @@
     this.engine = new DecisionEngine(clock, random, { kind: 'resources' })
     const peers = new JobPeers(hub, clock)
     const idShardOf = (jobId: string): string => hasher.idShard(jobId)
-    const common = { engine: this.engine, peers, config, idShardOf, clock, timers: clock, log }
-    this.tasks = new TaskService({ ...common, shards: router })
-    this.workers = new WorkerPool({ ...common, client: new WorkerClient(), directory, shards: ownership.shardEvents() }, this.tasks.runner)
+    const sharedContext = { engine: this.engine, peers, config, idShardOf, clock, timers: clock, log }
+    this.tasks = new TaskService({ ...sharedContext, shards: router })
+    this.workers = new WorkerPool({
+      ...sharedContext, client: new WorkerClient(), directory, shards: ownership.createShardEvents()
+    }, this.tasks.runner)
     this.tasks.runner.setPool(this.workers)
     this.jobs = new JobOwner({
-      ...common,
+      ...sharedContext,
       shards: router,
       jobLog: ownership.claims,
       hosts: () => directory.hosts,
--- a/src/daemon/MembersFeed.ts
+++ b/src/daemon/MembersFeed.ts
@@ -1,8 +1,9 @@
 /**
- * Tells membership what the store lists.
+ * Passes the members that are listed in the store to the membership agent.
  *
- * A scheduler follows the members anyway, because it takes over from those that go. A gateway only reads them when it
- * has no link at all: every waiting watch counts against the store's rate, and links and gossip tell it the rest.
+ * A scheduler watches the members in any case, because it takes over shards from members that leave. A gateway reads them only at
+ * its start and while it has no link: every open watch counts against the store's rate limit, and once a link exists, the gateway
+ * learns of other members by gossip.
  */
 
 import { MEMBER_PREFIX, parseMemberEntry } from '../scheduler/ownership/index.js'
@@ -14,11 +15,14 @@
 import type { IKeyValueStore, IStoreRecord } from '../runtime/Types.js'
 import type { IMemberEntry, ShardOwner } from '../scheduler/ownership/index.js'
 
-/** At the target some hundreds of gateways start over again within a day: a read each second from those without links. */
-const READ_MS = 1000
+/**
+ * How often a gateway without links reads the members, in ms. In a cell of the target size, some hundreds of gateways restart within
+ * a day, and each of them reads the members once a second until it has a link.
+ */
+const READ_INTERVAL_MS = 1000
 
-/** Feeds a scheduler's membership from the watch of its shard owner. */
-export function feedFromOwner (owner: ShardOwner, agent: MembershipAgent): IDisposable {
+/** Passes the members that the shard owner watches to the scheduler's membership agent. */
+export function forwardMembers (owner: ShardOwner, agent: MembershipAgent): IDisposable {
   const members = owner.onMembersChanged(() => agent.storeAll(owner.members.all().map(toMember)))
   const reachable = owner.onReachable((isReachable) => agent.storeReachable(isReachable))
   return {
@@ -29,7 +33,7 @@
   }
 }
 
-/** Reads the members at start, and again while no link stands. */
+/** Reads the members at the start, and periodically while this process has no link. */
 export class MembersReader implements IDisposable {
   private _timer: IDisposable | undefined
 
@@ -41,7 +45,7 @@
   ) {}
 
   public async start (): Promise<void> {
-    this._timer = this._timers.every(READ_MS, () => { this._readIfAlone() })
+    this._timer = this._timers.every(READ_INTERVAL_MS, () => { this._readIfUnlinked() })
     await this._read()
   }
 
@@ -49,7 +53,7 @@
     this._timer?.dispose()
   }
 
-  private _readIfAlone (): void {
+  private _readIfUnlinked (): void {
     if (this._hub.links().length === 0) this._read()
   }
 
--- a/src/daemon/OperatorSide.ts
+++ b/src/daemon/OperatorSide.ts
@@ -1,5 +1,5 @@
 /**
- * The operators' side of a process: dump, metrics, configuration and what the process itself can tell.
+ * Serves operators' requests to a process: state dump, metrics, configuration, members, and the routes of the process's own role.
  */
 
 import { request } from 'undici'
@@ -22,11 +22,11 @@
 import type { OperatorHandlers } from '../runtime/OperatorRoutes.js'
 import type { DaemonCore } from './DaemonCore.js'
 
-const ASK_TIMEOUT_MS = 2000
+const CALL_TIMEOUT_MS = 2000
 
 export interface IOperatorSideOptions {
   readonly broker: ServiceBroker
-  /** What this kind of process can tell besides. */
+  /** Further routes of this kind of process. */
   readonly handlers: OperatorHandlers
   readonly times: Readonly<Record<string, LatencyTable>>
   readonly outcomes?: OutcomeCounters
@@ -46,18 +46,18 @@
       storeCalls: () => store.callCount
     })))
     disposables.add(new SignalDumpWriter(this.dumps, log))
-    const editor = new ConfigEditor(store, config, clock, { ...EDITOR_DEFAULTS, newNonce: () => _core.nonce() })
+    const editor = new ConfigEditor(store, config, clock, { ...EDITOR_DEFAULTS, newNonce: () => _core.createNonce() })
     const { broker, handlers, times, outcomes } = options
     this._server = new OperatorServer(broker, settings.operator, settings.limits, {
       ...stateHandlers({ processId: self.processId, dumps: this.dumps, metrics, times, ...(outcomes === undefined ? {} : { outcomes }) }),
-      ...new ConfigRoutes(editor, config, async (kind, name) => await this._askEverywhere(kind, name)).handlers(),
+      ...new ConfigRoutes(editor, config, async (kind, name) => await this._fetchRevisions(kind, name)).handlers(),
       members: () => okReply({ members: _core.agent.members() }),
       ...handlers
     }, log)
     this._registerDumps()
   }
 
-  /** Binds; gives the base URL. */
+  /** Binds the listener and returns its base URL. */
   public async listen (): Promise<string> {
     const url = await this._server.listen()
     if (url.isErr()) throw url.error
@@ -77,20 +77,20 @@
     this.dumps.register('members', () => this._core.agent.members())
   }
 
-  private async _askEverywhere (kind: ConfigKind, name: string): Promise<readonly IProcessRevision[]> {
-    const alive = this._core.agent.members().filter((member) => member.state !== 'dead')
-    return await Promise.all(alive.map(async (member) => await this._askOne(member, kind, name)))
+  private async _fetchRevisions (kind: ConfigKind, name: string): Promise<readonly IProcessRevision[]> {
+    const aliveMembers = this._core.agent.members().filter((member) => member.state !== 'dead')
+    return await Promise.all(aliveMembers.map(async (member) => await this._fetchRevision(member, kind, name)))
   }
 
-  private async _askOne (member: IMember, kind: ConfigKind, name: string): Promise<IProcessRevision> {
+  private async _fetchRevision (member: IMember, kind: ConfigKind, name: string): Promise<IProcessRevision> {
     const { processId, region } = member
     try {
-      const answer = await request(`${member.operatorUrl}/v1/config/${kind}/${name}?source=replica`, {
+      const response = await request(`${member.operatorUrl}/v1/config/${kind}/${name}?source=replica`, {
         headers: { authorization: `Bearer ${this._core.settings.operator.token}` },
-        headersTimeout: ASK_TIMEOUT_MS,
-        bodyTimeout: ASK_TIMEOUT_MS
+        headersTimeout: CALL_TIMEOUT_MS,
+        bodyTimeout: CALL_TIMEOUT_MS
       })
-      const { entry } = await answer.body.json() as { readonly entry?: { readonly revision: number } }
+      const { entry } = await response.body.json() as { readonly entry?: { readonly revision: number } }
       return entry === undefined ? { processId, region } : { processId, region, revision: entry.revision }
     } catch (error) {
       return { processId, region, error: error instanceof Error ? error.message : String(error) }
--- a/src/daemon/OwnershipSide.ts
+++ b/src/daemon/OwnershipSide.ts
@@ -1,6 +1,6 @@
 /**
- * The shards of a scheduler process: its registration, the host list that says which racks there are, the records of
- * owners, and the log of its id shards.
+ * The parts of a scheduler process that own shards: its registration as a member, the host list, from which the shards of hosts
+ * follow, the ownership records, and the claim log of its id shards.
  */
 
 import { createHash32, ShardAssignment } from '../common/state/ShardAssignment.js'
@@ -20,14 +20,15 @@
 import type { IShardAcquired, IShardLost } from '../scheduler/ownership/index.js'
 import type { DaemonCore } from './DaemonCore.js'
 
-/** Releasing the shards waits for the store; in an outage the lease has to lapse instead. */
-const RELEASE_LIMIT_MS = 5000
-/** Two renewals may be lost before the lease lapses. */
+/** How long releasing the shards waits for the store, in ms; if the store is down, the lease expires instead. */
+const RELEASE_TIMEOUT_MS = 5000
+/** Two renewals may be lost before the lease expires. */
 const RENEWALS_PER_LEASE = 3
 
-export interface IIdShardUser {
-  /** The accepted jobs of an id shard that is ours now. */
+export interface IIdShardListener {
+  /** Takes over the accepted jobs of an id shard that this process has acquired. */
   takeOver (shardId: string, epoch: number, jobs: readonly IJobSpec[]): void
+  /** Gives up an id shard that this process has lost. */
   drop (shardId: string): void
 }
 
@@ -36,7 +37,7 @@
   public readonly registration: MemberRegistration
   public readonly claims: ClaimService
   public readonly owner: ShardOwner
-  private _storeReachable = true
+  private _isStoreReachable = true
 
   private constructor (private readonly _core: DaemonCore, operatorUrl: string, assignment: ShardAssignment) {
     const { clock, log, settings } = _core
@@ -51,12 +52,12 @@
     return new OwnershipSide(core, operatorUrl, new ShardAssignment(await createHash32()))
   }
 
-  public get storeReachable (): boolean {
-    return this._storeReachable
+  public get isStoreReachable (): boolean {
+    return this._isStoreReachable
   }
 
-  /** What the pools of hosts need to know of shards. */
-  public shardEvents (): IShardEvents {
+  /** Returns the events and calls through which host pools follow the ownership of shards. */
+  public createShardEvents (): IShardEvents {
     return {
       onAcquired: this.owner.onAcquired,
       onLost: this.owner.onLost,
@@ -65,18 +66,18 @@
     }
   }
 
-  /** Hands id shards to `user` as they come and go; `onChange` hears of every shard gained or lost. */
-  public connect (user: IIdShardUser, onChange: () => void): void {
-    this.directory.onChange((hosts) => this.owner.setShards(racksOf(hosts)))
+  /** Reports each id shard gained or lost to `listener`; calls `onChange` after each shard of any kind that is gained or lost. */
+  public connect (listener: IIdShardListener, onChange: () => void): void {
+    this.directory.onChange((hosts) => this.owner.setShards(rackShardsOf(hosts)))
     this.owner.setShards(idShardSpecs(this._core.settings.ids.idShards))
     this.owner.onAcquired(async (shard) => {
-      if (await this._acquired(shard, user)) onChange()
+      if (await this._handleAcquired(shard, listener)) onChange()
     })
     this.owner.onLost((shard) => {
-      this._lost(shard, user)
+      this._handleLost(shard, listener)
       onChange()
     })
-    this.owner.onReachable((reachable) => { this._storeReachable = reachable })
+    this.owner.onReachable((isReachable) => { this._isStoreReachable = isReachable })
     this.claims.onLost(({ shardId, epoch }) => this.owner.reportFenced(shardId, epoch + 1))
   }
 
@@ -86,13 +87,13 @@
     this.owner.start()
   }
 
-  /** Gives everything to the others, as far as the store can be reached in time. */
+  /** Releases all shards and the registration, as far as the store answers in time. */
   public async release (): Promise<void> {
     const released = this.owner.releaseAll().then(async () => { await this.registration.stop() })
-    await Promise.race([released, new Promise<void>((resolve) => { this._core.clock.after(RELEASE_LIMIT_MS, resolve) })])
+    await Promise.race([released, new Promise<void>((resolve) => { this._core.clock.after(RELEASE_TIMEOUT_MS, resolve) })])
   }
 
-  private async _acquired (shard: IShardAcquired, user: IIdShardUser): Promise<boolean> {
+  private async _handleAcquired (shard: IShardAcquired, listener: IIdShardListener): Promise<boolean> {
     const { shardId, kind, epoch } = shard
     this._core.log.info('shard.acquired', { shardId, epoch })
     if (kind === 'ids') {
@@ -101,16 +102,16 @@
         this._core.log.error('shard.recoveryFailed', { shardId, step: recovered.error.step, peer: recovered.error.peer })
         return false
       }
-      user.takeOver(shardId, epoch, recovered.value)
+      listener.takeOver(shardId, epoch, recovered.value)
     }
     this.owner.markReady(shardId, epoch)
     return true
   }
 
-  private _lost ({ shardId, kind, epoch, reason }: IShardLost, user: IIdShardUser): void {
+  private _handleLost ({ shardId, kind, epoch, reason }: IShardLost, listener: IIdShardListener): void {
     this._core.log.info('shard.lost', { shardId, epoch, reason })
     if (kind !== 'ids') return
-    user.drop(shardId)
+    listener.drop(shardId)
     this.claims.drop(shardId)
   }
 
@@ -124,7 +125,7 @@
 
   private _createClaims (): ClaimService {
     const { self, store, clock, settings } = this._core
-    return new ClaimService(store, clock, () => this._core.nonce(), {
+    return new ClaimService(store, clock, () => this._core.createNonce(), {
       ...DEFAULT_CLAIM_SERVICE_OPTIONS,
       owner: self.processId,
       idShardCount: settings.ids.idShards,
@@ -136,13 +137,13 @@
   private _createOwner (assignment: ShardAssignment): ShardOwner {
     const { store, clock } = this._core
     const chart = loadChart('shardOwnership')._unsafeUnwrap()
-    const user = { beforeRelease: async (shardId: string) => { await this.claims.close(shardId) } }
-    const nonce = (): string => this._core.nonce()
-    return new ShardOwner(store, clock, this.registration, chart, assignment, user, nonce, DEFAULT_SHARD_OWNER_OPTIONS)
+    const releaseHook = { beforeRelease: async (shardId: string) => { await this.claims.close(shardId) } }
+    const nonce = (): string => this._core.createNonce()
+    return new ShardOwner(store, clock, this.registration, chart, assignment, releaseHook, nonce, DEFAULT_SHARD_OWNER_OPTIONS)
   }
 }
 
-function racksOf (hosts: readonly IHostRecord[]): readonly IShardSpec[] {
+function rackShardsOf (hosts: readonly IHostRecord[]): readonly IShardSpec[] {
   const racks = new Map(hosts.map((host) => [shardOfHost(host), host]))
   return [...racks].map(([shardId, host]) => ({ shardId, kind: `${host.kind}s` as const, region: host.region }))
 }
--- a/src/daemon/PackedController.test.ts
+++ b/src/daemon/PackedController.test.ts
@@ -1,5 +1,5 @@
 /**
- * The controller as it is deployed: `npm run pack` has made it.
+ * Tests the controller in the form in which it is deployed; `npm run pack` must have built it.
  */
 
 import test from 'ava'
@@ -10,13 +10,13 @@
 
 const ROOT_URL = new URL('../../../', import.meta.url)
 const SCRIPT_PATH = fileURLToPath(new URL('target/src/daemon/controller.cjs', ROOT_URL))
-/** V8 takes no code that was kept under other flags. */
-const DEPLOYED = /^run = "node (.*) target\/bin\/\S+"$/m.exec(readFileSync(new URL('deploy/system.toml', ROOT_URL), 'utf8'))
-const FLAGS = DEPLOYED?.[1]?.split(' ') ?? []
+/** The command that the deployment runs. V8 rejects cached code that was compiled under other flags. */
+const DEPLOYED_COMMAND = /^run = "node (.*) target\/bin\/\S+"$/m.exec(readFileSync(new URL('deploy/system.toml', ROOT_URL), 'utf8'))
+const FLAGS = DEPLOYED_COMMAND?.[1]?.split(' ') ?? []
 
-test('V8 takes the kept code under the flags that the controller is deployed with', (t) => {
-  // With a flag that differs, all of it would be compiled anew at every start: nothing fails, and after each kill callers wait
-  // for a second longer.
+test('V8 accepts the cached code under the flags that the controller is deployed with', (t) => {
+  // If a flag differed, V8 would compile all code again at every start. Nothing fails then, but after each kill callers wait a second
+  // longer.
   t.true(FLAGS.length > 0)
   t.true(existsSync(`${SCRIPT_PATH}.code`))
   const script = `
@@ -27,11 +27,11 @@
   t.is(stdout, 'true')
 })
 
-test('the packed script brings all that it needs but what is loaded late', (t) => {
+test('the packed script contains every module that it loads at its start', (t) => {
   t.is(typeof loadScript<{ readonly runController: unknown }>(SCRIPT_PATH).exported.runController, 'function')
 })
 
-test('the packed binary checks its settings', (t) => {
+test('the packed binary exits with an error if the settings file can\'t be read', (t) => {
   const binary = fileURLToPath(new URL('target/bin/jackdawreel-controller-packed.cjs', ROOT_URL))
   const { status, stderr } = spawnSync(process.execPath, [...FLAGS, binary, '--config', '/nowhere.ini'], { encoding: 'utf8' })
   t.is(status, 2)
--- a/src/daemon/RequestSide.ts
+++ b/src/daemon/RequestSide.ts
@@ -1,5 +1,5 @@
 /**
- * The requests of a scheduler process: its decision engine for slots, its runners, and the way of a request.
+ * The parts of a scheduler process that handle requests: the decision engine for slots, the pool of runners, and the request service.
  */
 
 import { DecisionEngine } from '../common/policy/DecisionEngine.js'
@@ -14,43 +14,46 @@
 import type { DaemonCore } from './DaemonCore.js'
 import type { OwnershipSide } from './OwnershipSide.js'
 
-/** Summaries come once a second; in between there is little new to decide by. */
-const SHIFT_MS = 500
+/**
+ * How often queued requests are checked for a move to another scheduler, in ms. Load summaries arrive once a second, so a shorter
+ * interval would bring little new information.
+ */
+const SHIFT_INTERVAL_MS = 500
 
 export class RequestSide {
   public readonly engine: DecisionEngine
   public readonly runners: RunnerPool
   public readonly service: RequestService
-  private readonly _client = new RunnerClient()
+  private readonly _runnerClient = new RunnerClient()
 
   public constructor (private readonly _core: DaemonCore, private readonly _ownership: OwnershipSide) {
     const { clock, log, random } = _core
     this.engine = new DecisionEngine(clock, random, { kind: 'slots' })
     this.runners = new RunnerPool({
       engine: this.engine,
-      client: this._client,
+      client: this._runnerClient,
       directory: _ownership.directory,
-      shards: _ownership.shardEvents(),
+      shards: _ownership.createShardEvents(),
       clock,
       timers: clock,
       log,
       createAdoptedItem
     })
     this.service = this._createService()
-    this._followQueues()
-    this._handle()
+    this._startShifting()
+    this._registerHandlers()
   }
 
   private _createService (): RequestService {
     const { self, hub, router, config, hasher, clock, random, log, settings } = this._core
     const localOutcomeOf = async (attemptId: string, waitMs: number): Promise<IFinalAnswer> => await this.service.outcomeOf(attemptId, waitMs)
-    const storeReachable = (): boolean => this._ownership.storeReachable
+    const storeReachable = (): boolean => this._ownership.isStoreReachable
     const claims = new ClaimClient({ self, hub, router, local: this._ownership.claims, storeReachable, localOutcomeOf, clock, timers: clock })
     return new RequestService({
       self,
       engine: this.engine,
       runners: this.runners,
-      client: this._client,
+      client: this._runnerClient,
       claims,
       bounds: settings.limits,
       config,
@@ -62,22 +65,22 @@
     })
   }
 
-  private _followQueues (): void {
+  private _startShifting (): void {
     const { self, hub, clock, random, disposables } = this._core
     const shifter = new QueueShifter(self, clock, random)
     disposables.add(hub.listen('loadSummary', (summary) => shifter.putSummary(summary)))
     disposables.add(hub.onLost((peer) => shifter.forget(peer.processId)))
-    disposables.add(clock.every(SHIFT_MS, () => this.service.shiftQueued(shifter)))
+    disposables.add(clock.every(SHIFT_INTERVAL_MS, () => this.service.shiftQueued(shifter)))
   }
 
-  private _handle (): void {
+  private _registerHandlers (): void {
     const { hub } = this._core
     const { claims } = this._ownership
-    hub.handle('submit', async (ask) => await this.service.submit(ask))
+    hub.handle('submit', async (request) => await this.service.submit(request))
     hub.handle('cancel', async ({ attemptId }) => ({ cancelled: this.service.cancel(attemptId) }))
     hub.handle('outcomeOf', async ({ attemptId, waitMs }) => await this.service.outcomeOf(attemptId, waitMs))
-    hub.handle('claim', async (ask) => await claims.claim(ask))
-    hub.handle('block', async (ask) => await claims.block(ask))
-    hub.handle('release', async (ask) => await claims.release(ask))
+    hub.handle('claim', async (request) => await claims.claim(request))
+    hub.handle('block', async (request) => await claims.block(request))
+    hub.handle('release', async (request) => await claims.release(request))
   }
 }
--- a/src/daemon/SchedulerDaemon.ts
+++ b/src/daemon/SchedulerDaemon.ts
@@ -1,5 +1,5 @@
 /**
- * The scheduler process: owns shards, and decides alone about their hosts.
+ * The scheduler process: owns shards, and is the only process that schedules work on their hosts.
  */
 
 import { createBroker } from '../runtime/Broker.js'
@@ -8,7 +8,7 @@
 import { LoadReporter } from '../scheduler/LoadReporter.js'
 import { DaemonCore } from './DaemonCore.js'
 import { JobSide } from './JobSide.js'
-import { feedFromOwner } from './MembersFeed.js'
+import { forwardMembers } from './MembersFeed.js'
 import { OperatorSide } from './OperatorSide.js'
 import { OwnershipSide } from './OwnershipSide.js'
 import { RequestSide } from './RequestSide.js'
@@ -19,9 +19,10 @@
 import type { ISettings } from '../runtime/settings/Types.js'
 import type { IDaemon, IDaemonAddresses } from './Types.js'
 
-const DRAIN_CALL_MS = 2000
-const TELL_AFTER_MS = 20
-/** Rows of one answer to an operator. */
+const DRAIN_CALL_TIMEOUT_MS = 2000
+/** Delay before changed slots are announced, in ms, so that the hosts of a rack are announced together. */
+const ANNOUNCE_DELAY_MS = 20
+/** Maximum number of jobs in one response to an operator. */
 const MAX_LISTED_JOBS = 1000
 
 interface ISchedulerParts {
@@ -35,18 +36,18 @@
   private readonly _ownership: OwnershipSide
   private readonly _requests: RequestSide
   private readonly _jobs: JobSide
-  private readonly _load: LoadReporter
-  private _draining = false
-  private _toldSlots = 0
+  private readonly _loadReporter: LoadReporter
+  private _isDraining = false
+  private _announcedSlots = 0
 
   private constructor (private readonly _core: DaemonCore, private readonly _parts: ISchedulerParts) {
     this._ownership = _parts.ownership
     this._requests = new RequestSide(_core, this._ownership)
     this._jobs = new JobSide(_core, this._ownership)
-    this._load = this._createLoadReporter()
-    this._ownership.connect(this._jobs.jobs, () => this._load.announce())
-    this._requests.runners.onChange(() => this._tellSlotsSoon())
-    _core.watcher.onApplied((entries) => this._takeTeams(entries))
+    this._loadReporter = this._createLoadReporter()
+    this._ownership.connect(this._jobs.jobs, () => this._loadReporter.announce())
+    this._requests.runners.onChange(() => this._announceSlotsSoon())
+    _core.watcher.onApplied((entries) => this._applyTeams(entries))
     _core.hub.handle('drain', async ({ hostId }) => {
       if (hostId !== undefined) this._ownership.directory.drainHost(hostId)
       return { draining: hostId !== undefined }
@@ -57,7 +58,7 @@
     const core = await DaemonCore.create(settings)
     const broker = createBroker(core.self.processId, core.log)
     const handlers: { current: OperatorHandlers } = { current: {} }
-    const operator = new OperatorSide(core, { broker, times: {}, handlers: lateHandlers(handlers) })
+    const operator = new OperatorSide(core, { broker, times: {}, handlers: createDeferredHandlers(handlers) })
     await broker.start()
     const operatorUrl = await operator.listen()
     const ownership = await OwnershipSide.create(core, operatorUrl)
@@ -65,7 +66,7 @@
     handlers.current = daemon._operatorHandlers()
     daemon._registerDumps()
     core.join(operatorUrl)
-    core.disposables.add(feedFromOwner(ownership.owner, core.agent))
+    core.disposables.add(forwardMembers(ownership.owner, core.agent))
     return daemon
   }
 
@@ -79,14 +80,14 @@
 
   public async stop (): Promise<void> {
     const { hub, settings, disposables, agent } = this._core
-    this._draining = true
+    this._isDraining = true
     agent.leave()
-    this._load.announce()
+    this._loadReporter.announce()
     this._jobs.tasks.drain()
     const drained = this._requests.service.drain()
     await this._ownership.release()
     await drained
-    for (const part of [this._load, this._jobs, this._ownership.directory]) part.dispose()
+    for (const part of [this._loadReporter, this._jobs, this._ownership.directory]) part.dispose()
     await hub.close(settings.limits.drainMs)
     disposables.dispose()
     await this._parts.operator.close()
@@ -94,17 +95,17 @@
   }
 
   /**
-   * Tells the others when runners come into use or go, a moment later so that a rack is told of once.
+   * Announces the load if the number of slots has changed, after a short delay so that a rack is announced once.
    *
-   * What goes wrong otherwise: a shard is told of when it is taken over, before its first host has accepted the epoch.
-   * Until the next summary, a second or more later, gateways see a scheduler without slots, and callers of a region
-   * whose only rack has just changed hands are refused although its hosts are ready.
+   * The announcement at a takeover of a shard is not enough: at that time no host has accepted the new epoch yet. Until the next
+   * periodic summary, a second or more later, gateways would see a scheduler without slots. If the only rack of a region had just
+   * changed its owner, callers of this region would be refused although its hosts are ready.
    */
-  private _tellSlotsSoon (): void {
+  private _announceSlotsSoon (): void {
     const slots = this._requests.engine.load().capacity.cores
-    if (slots === this._toldSlots) return
-    this._toldSlots = slots
-    this._core.clock.after(TELL_AFTER_MS, () => this._load.announce())
+    if (slots === this._announcedSlots) return
+    this._announcedSlots = slots
+    this._core.clock.after(ANNOUNCE_DELAY_MS, () => this._loadReporter.announce())
   }
 
   private _operatorHandlers (): OperatorHandlers {
@@ -117,14 +118,14 @@
   }
 
   /**
-   * Takes a host out of use, here and at all linked schedulers, so that it stays so when its shard changes hands; or
-   * stops this process.
+   * Drains a host at this and all linked schedulers, so that it stays drained if its shard changes its owner. Without a host, stops
+   * this process gracefully.
    */
   private async _drain (hostId: string | undefined): Promise<{ readonly draining: boolean }> {
     if (hostId === undefined) process.kill(process.pid, 'SIGTERM')
     else {
       this._ownership.directory.drainHost(hostId)
-      await Promise.all(this._core.hub.links().map(async (link) => await link.call('drain', { hostId }, DRAIN_CALL_MS)))
+      await Promise.all(this._core.hub.links().map(async (link) => await link.call('drain', { hostId }, DRAIN_CALL_TIMEOUT_MS)))
     }
     return { draining: true }
   }
@@ -145,12 +146,12 @@
       requestLoad: () => this._requests.engine.load(),
       taskLoad: () => this._jobs.engine.load(),
       shards: () => this._ownership.owner.held(),
-      draining: () => this._draining,
-      storeReachable: () => this._ownership.storeReachable
+      draining: () => this._isDraining,
+      storeReachable: () => this._ownership.isStoreReachable
     }, (summary) => router.noteSummary(summary))
   }
 
-  private _takeTeams (entries: readonly IConfigEntry[]): void {
+  private _applyTeams (entries: readonly IConfigEntry[]): void {
     for (const { name } of entries.filter((entry) => entry.kind === 'team')) {
       const team = this._core.config.team(name)
       if (team === undefined) continue
@@ -160,9 +161,12 @@
   }
 }
 
-/** The operator listener is bound before the parts that it tells of exist, because their entry names its address. */
-function lateHandlers (handlers: { readonly current: OperatorHandlers }): OperatorHandlers {
-  const late = (name: 'hosts' | 'jobs' | 'shards' | 'drain') => async (request: IOperatorRequest) =>
-    await (handlers.current[name]?.(request) ?? errorReply(503, 'starting', 'this process is starting; ask again'))
-  return { hosts: late('hosts'), jobs: late('jobs'), shards: late('shards'), drain: late('drain') }
+/**
+ * Returns handlers that forward to the current ones. The operator listener is bound before the parts exist that its handlers read,
+ * because the member entry of this process contains the listener's address.
+ */
+function createDeferredHandlers (handlers: { readonly current: OperatorHandlers }): OperatorHandlers {
+  const defer = (name: 'hosts' | 'jobs' | 'shards' | 'drain') => async (request: IOperatorRequest) =>
+    await (handlers.current[name]?.(request) ?? errorReply(503, 'starting', 'this process is starting; try again'))
+  return { hosts: defer('hosts'), jobs: defer('jobs'), shards: defer('shards'), drain: defer('drain') }
 }
--- a/src/daemon/Types.ts
+++ b/src/daemon/Types.ts
@@ -1,16 +1,16 @@
 /**
- * What every process of the system offers to its binary.
+ * The interface between a daemon and the binary that runs it.
  */
 
 export interface IDaemonAddresses {
-  /** The callers' side of a gateway, the peers' side of a scheduler. */
+  /** The URL for callers of a gateway, or for peers of a scheduler. */
   readonly url: string
   readonly operatorUrl: string
 }
 
 export interface IDaemon {
-  /** Gives the addresses that it serves, once it does. */
+  /** Starts serving and returns the addresses. */
   start (): Promise<IDaemonAddresses>
-  /** Planned stop: takes no request down with it. */
+  /** Stops gracefully, without failing any request in flight. */
   stop (): Promise<void>
 }
--- a/src/daemon/runController.ts
+++ b/src/daemon/runController.ts
@@ -1,5 +1,6 @@
 /**
- * The life of a controller: settings from a file, start, reload on SIGHUP, a graceful stop on SIGTERM.
+ * Runs a controller: reads the settings file, starts the daemon, reloads the settings on SIGHUP, dumps the state on SIGUSR2, and
+ * stops gracefully on SIGTERM or SIGINT.
  */
 
 import { readFileSync } from 'node:fs'
@@ -16,15 +17,15 @@
 const EXIT_STOP = 4
 const CONFIG_VARIABLE = 'JACKDAWREEL_CONFIG'
 
-/** How the process's code was loaded, for its first log line. */
+/** How the code of the process was loaded; the first log line reports it. */
 export interface ICodeOrigin {
-  /** V8 took code that was kept when the controller was packed; absent where it isn't packed. */
+  /** Whether V8 accepted the code cache that was written when the controller was packed; undefined if it isn't packed. */
   readonly isCodeKept?: boolean
 }
 
 export async function runController (origin: ICodeOrigin = {}): Promise<void> {
-  const path = await settingsPath()
-  const settings = load(path)
+  const path = await resolveSettingsPath()
+  const settings = loadSettings(path)
   const daemon = new ControllerDaemon(settings, origin.isCodeKept)
   process.once('SIGTERM', () => { stop(daemon) })
   process.once('SIGINT', () => { stop(daemon) })
@@ -34,19 +35,19 @@
   process.stdout.write(JSON.stringify({ ready: true, ...addresses, processId: settings.process.id }) + '\n')
 }
 
-/** From the arguments, or, where there are none, from the environment. */
-async function settingsPath (): Promise<string> {
+/** Returns the path from the arguments or, if there are none, from the environment. */
+async function resolveSettingsPath (): Promise<string> {
   const [, script = '', ...args] = process.argv
   const path = process.env[CONFIG_VARIABLE]
   return args.length === 0 && path !== undefined ? path : await readConfigPath(script, args)
 }
 
-function load (path: string): IControllerSettings {
-  const read = loadControllerSettings(readText(path))
-  return read.isOk() ? read.value : exit(EXIT_SETTINGS, `${path}: ${read.error.problems.map(describeProblem).join('; ')}`)
+function loadSettings (path: string): IControllerSettings {
+  const loaded = loadControllerSettings(readSettingsText(path))
+  return loaded.isOk() ? loaded.value : exit(EXIT_SETTINGS, `${path}: ${loaded.error.problems.map(describeProblem).join('; ')}`)
 }
 
-function readText (path: string): string {
+function readSettingsText (path: string): string {
   try {
     return readFileSync(path, 'utf8')
   } catch (error) {
@@ -54,17 +55,17 @@
   }
 }
 
-/** A file that can't be used leaves the running settings as they are. */
+/** Reloads the settings file. If it can't be read or is invalid, the current settings stay in effect. */
 function reload (daemon: ControllerDaemon, path: string): void {
   let text = ''
   try {
     text = readFileSync(path, 'utf8')
   } catch (error) {
-    return daemon.noteReload(String(error))
+    return daemon.logReloadFailure(String(error))
   }
-  const read = loadControllerSettings(text)
-  if (read.isErr()) daemon.noteReload(read.error.problems.map(describeProblem).join('; '))
-  else daemon.reload(read.value)
+  const loaded = loadControllerSettings(text)
+  if (loaded.isErr()) daemon.logReloadFailure(loaded.error.problems.map(describeProblem).join('; '))
+  else daemon.reload(loaded.value)
 }
 
 function stop (daemon: ControllerDaemon): void {
--- a/src/daemon/runDaemon.ts
+++ b/src/daemon/runDaemon.ts
@@ -1,5 +1,6 @@
 /**
- * The life of a process: settings from a file, start, a line that says where it serves, and a graceful stop on SIGTERM.
+ * Runs a gateway or a scheduler: reads the settings file, starts the daemon, prints a line with its addresses, and stops gracefully
+ * on SIGTERM or SIGINT.
  */
 
 import { readFileSync } from 'node:fs'
@@ -18,8 +19,8 @@
 export async function runDaemon (role: ProcessRole, create: (settings: ISettings) => Promise<IDaemon>): Promise<void> {
   const [, script = '', ...args] = process.argv
   const settings = loadSettings(await readConfigPath(script, args), role)
-  const daemon = await orExit(EXIT_START, async () => await create(settings))
-  const addresses = await orExit(EXIT_START, async () => await daemon.start())
+  const daemon = await runOrExit(EXIT_START, async () => await create(settings))
+  const addresses = await runOrExit(EXIT_START, async () => await daemon.start())
   process.once('SIGTERM', () => { stop(daemon) })
   process.once('SIGINT', () => { stop(daemon) })
   process.stdout.write(JSON.stringify({ ready: true, ...addresses, processId: settings.process.id }) + '\n')
@@ -34,17 +35,17 @@
   }
   const settings = new SettingsLoader().load(text)
   if (settings.isErr()) exit(EXIT_SETTINGS, `${path}: ${settings.error.problems.map(describeProblem).join('; ')}`)
-  const { role: found } = settings.value.process
-  if (found !== role) exit(EXIT_SETTINGS, `${path} is for a ${found}; start jackdawreel-${found} with it`)
+  const { role: configuredRole } = settings.value.process
+  if (configuredRole !== role) exit(EXIT_SETTINGS, `${path} is for a ${configuredRole}; start jackdawreel-${configuredRole} with it`)
   return settings.value
 }
 
 async function stop (daemon: IDaemon): Promise<void> {
-  await orExit(EXIT_STOP, async () => { await daemon.stop() })
+  await runOrExit(EXIT_STOP, async () => { await daemon.stop() })
   process.exit(0)
 }
 
-async function orExit<T> (code: number, action: () => Promise<T>): Promise<T> {
+async function runOrExit<T> (code: number, action: () => Promise<T>): Promise<T> {
   try {
     return await action()
   } catch (error) {
