--- a/src/operator/CommandError.ts
+++ b/src/operator/CommandError.ts
@@ -1,5 +1,5 @@
 /**
- * Why a command failed, in one line that says what to do, and with which exit code it ends.
+ * The failure of a command: one line that says what to do, and the exit code.
  */
 
 import { StepError } from '../common/Errors.js'
@@ -8,8 +8,8 @@
 
 export class CommandError extends StepError {
   /**
-   * @param advice one line for people
-   * @param details further lines, such as the two versions of a racing edit
+   * @param advice one line for the operator
+   * @param details further lines, such as both versions after an edit conflict
    */
   public constructor (
     step: string,
--- a/src/operator/Difference.ts
+++ b/src/operator/Difference.ts
@@ -1,5 +1,5 @@
 /**
- * The fields in which two versions of a configured thing differ.
+ * Compares two versions of a configuration entry field by field.
  */
 
 import type { IConfigEntry } from '../common/config/Types.js'
@@ -10,7 +10,7 @@
   readonly right: unknown
 }
 
-export function differences (left: object | undefined, right: object | undefined): readonly IFieldDifference[] {
+export function compareFields (left: object | undefined, right: object | undefined): readonly IFieldDifference[] {
   const leftFields = { ...left } as Record<string, unknown>
   const rightFields = { ...right } as Record<string, unknown>
   const fields = [...new Set([...Object.keys(leftFields), ...Object.keys(rightFields)])]
@@ -19,10 +19,10 @@
     .map(field => ({ field, left: leftFields[field], right: rightFields[field] }))
 }
 
-/** One line: `weight 1 -> 2, spread none -> failureDomain`. */
+/** Describes a change in one line, such as `weight 1 -> 2, spread none -> failureDomain`. */
 export function describeChange (before: IConfigEntry | undefined, after: IConfigEntry): string {
   if (after.deleted) return 'deleted'
   if (before === undefined || before.deleted) return 'created'
-  const changes = differences(before.value, after.value).map(({ field, left, right }) => `${field} ${String(left)} -> ${String(right)}`)
+  const changes = compareFields(before.value, after.value).map(({ field, left, right }) => `${field} ${String(left)} -> ${String(right)}`)
   return changes.length === 0 ? 'unchanged' : changes.join(', ')
 }
--- a/src/operator/HttpCall.ts
+++ b/src/operator/HttpCall.ts
@@ -1,5 +1,5 @@
 /**
- * One HTTP call of the command line, with its failures told as command errors.
+ * Makes an HTTP call for the command line and turns failures into command errors.
  */
 
 import { err, ok } from 'neverthrow'
@@ -18,32 +18,32 @@
   readonly timeoutMs: number
 }
 
-export interface IHttpAnswer {
+export interface IHttpResponse {
   readonly status: number
   readonly headers: IncomingHttpHeaders
   readonly body: Uint8Array
 }
 
-/** Errors that say that no connection came about, so nothing was sent. */
+/** Error codes after which no connection existed, so nothing was sent. */
 const NOT_CONNECTED_CODES: ReadonlySet<string> = new Set(['ECONNREFUSED', 'EHOSTUNREACH', 'ENETUNREACH', 'ENOTFOUND', 'UND_ERR_CONNECT_TIMEOUT'])
 
 /** Never rejects. */
-export async function callHttp (call: IHttpCall): Promise<Result<IHttpAnswer, CommandError>> {
+export async function callHttp (call: IHttpCall): Promise<Result<IHttpResponse, CommandError>> {
   const { method, url, headers, body, timeoutMs } = call
   try {
     const signal = AbortSignal.timeout(timeoutMs)
-    const answer = await request(url, { method, headers, signal, ...(body === undefined ? {} : { body }) })
-    return ok({ status: answer.statusCode, headers: answer.headers, body: new Uint8Array(await answer.body.arrayBuffer()) })
+    const response = await request(url, { method, headers, signal, ...(body === undefined ? {} : { body }) })
+    return ok({ status: response.statusCode, headers: response.headers, body: new Uint8Array(await response.body.arrayBuffer()) })
   } catch (error) {
-    return err(failureOf(call, error))
+    return err(toCommandError(call, error))
   }
 }
 
-function failureOf ({ method, url }: IHttpCall, error: unknown): CommandError {
+function toCommandError ({ method, url }: IHttpCall, error: unknown): CommandError {
   const { code = '', message = '' } = error as { readonly code?: string, readonly message?: string }
   if (code === 'ERR_INVALID_URL' || code === 'UND_ERR_INVALID_ARG') return new CommandError('http', url, EXIT.usage, `${url} is not a URL such as http://10.0.0.7:7100`)
   const isUnsent = NOT_CONNECTED_CODES.has(code)
   if (isUnsent) return new CommandError('http', url, EXIT.unreachable, `${url} can't be reached (${code}); check the address and that the process runs`)
-  if (method === 'GET') return new CommandError('http', url, EXIT.unreachable, `${url} gave no whole answer (${message}); try again`)
-  return new CommandError('http', url, EXIT.unknown, `${url} gave no whole answer (${message}); look whether the change took effect before trying again`)
+  if (method === 'GET') return new CommandError('http', url, EXIT.unreachable, `${url} sent no complete response (${message}); try again`)
+  return new CommandError('http', url, EXIT.unknown, `${url} sent no complete response (${message}); check whether the change took effect before trying again`)
 }
--- a/src/operator/OperatorClient.ts
+++ b/src/operator/OperatorClient.ts
@@ -1,5 +1,5 @@
 /**
- * Calls to the operator listener of a process.
+ * Calls the operator listener of a process.
  */
 
 import { err, ok } from 'neverthrow'
@@ -10,8 +10,8 @@
 
 import type { Result } from 'neverthrow'
 import type { ExitCode } from './ExitCodes.js'
-import type { IHttpAnswer, IHttpCall } from './HttpCall.js'
-import type { IRefusal } from './OperatorRefusal.js'
+import type { IHttpResponse, IHttpCall } from './HttpCall.js'
+import type { IRefusalBody } from './OperatorRefusal.js'
 import type { ICommandContext } from './Types.js'
 
 const TIMEOUT_MS = 15_000
@@ -37,8 +37,8 @@
 export class OperatorClient {
   public constructor (private readonly _context: ICommandContext, private readonly _baseUrl = _context.operatorUrl) {}
 
-  /** The same client for another process. */
-  public at (baseUrl: string): OperatorClient {
+  /** Returns a client with the same credentials for another process. */
+  public forProcess (baseUrl: string): OperatorClient {
     return new OperatorClient(this._context, baseUrl)
   }
 
@@ -48,17 +48,17 @@
 
   public async call<T> ({ method, path, ifMatch, body }: IOperatorCall): Promise<Result<T, CommandError>> {
     const url = this._baseUrl.replace(/\/$/, '') + path
-    const answer = await callHttp({
+    const response = await callHttp({
       method,
       url,
-      headers: this._headers(ifMatch, body),
+      headers: this._createHeaders(ifMatch, body),
       timeoutMs: TIMEOUT_MS,
       ...(body === undefined ? {} : { body: JSON.stringify(body) })
     })
-    return answer.andThen(each => readAnswer<T>(url, each))
+    return response.andThen(each => parseResponse<T>(url, each))
   }
 
-  private _headers (ifMatch: number | undefined, body: unknown): Record<string, string> {
+  private _createHeaders (ifMatch: number | undefined, body: unknown): Record<string, string> {
     return {
       authorization: `Bearer ${this._context.token}`,
       'x-jackdawreel-operator': this._context.operator,
@@ -68,11 +68,11 @@
   }
 }
 
-function readAnswer<T> (url: string, answer: IHttpAnswer): Result<T, CommandError> {
-  const json = parseJson(answer.body)
-  if (json === undefined) return err(new CommandError('operator.call', url, EXIT.internal, `${url} is no operator listener of jackdawreel; check the address`))
-  if (answer.status < 300) return ok(json as T)
-  return err(new OperatorRefusal(url, EXIT_BY_STATUS[answer.status] ?? EXIT.internal, json as IRefusal))
+function parseResponse<T> (url: string, response: IHttpResponse): Result<T, CommandError> {
+  const json = parseJson(response.body)
+  if (json === undefined) return err(new CommandError('operator.call', url, EXIT.internal, `${url} is not the operator listener of a jackdawreel process; check the address`))
+  if (response.status < 300) return ok(json as T)
+  return err(new OperatorRefusal(url, EXIT_BY_STATUS[response.status] ?? EXIT.internal, json as IRefusalBody))
 }
 
 function parseJson (body: Uint8Array): unknown {
--- a/src/operator/OperatorRefusal.ts
+++ b/src/operator/OperatorRefusal.ts
@@ -1,20 +1,20 @@
 /**
- * A refusal by the operators' side of a process.
+ * The error for a command that the operator listener of a process refused.
  */
 
 import { CommandError } from './CommandError.js'
 
 import type { ExitCode } from './ExitCodes.js'
 
-/** The body of a refusal, as far as it has the documented form. */
-export interface IRefusal {
+/** The documented fields of a refusal's body; each may be missing. */
+export interface IRefusalBody {
   readonly message?: string
   readonly current?: unknown
 }
 
-/** Carries the refusal, so that a command can show more of it. */
+/** Contains the refusal's body, so that a command can show its details. */
 export class OperatorRefusal extends CommandError {
-  public constructor (url: string, exitCode: ExitCode, public readonly refusal: IRefusal) {
-    super('operator.call', url, exitCode, refusal.message ?? 'refused without a reason; look into the log of the process')
+  public constructor (url: string, exitCode: ExitCode, public readonly refusal: IRefusalBody) {
+    super('operator.call', url, exitCode, refusal.message ?? 'refused without a reason; check the log of the process')
   }
 }
--- a/src/operator/Program.test.ts
+++ b/src/operator/Program.test.ts
@@ -1,3 +1,7 @@
+/**
+ * Tests the command line against an operator listener in the same process.
+ */
+
 import { createServer } from 'node:http'
 import test from 'ava'
 import { OPERATOR_TOKEN, startOperator } from '../../test/support/OperatorFixture.js'
@@ -52,18 +56,18 @@
   t.is((await run('profile', 'put', 'nightly', '--like', 'urgent')).code, EXIT.conflict)
 })
 
-// Two operators take the same version, and the second one puts it after the first one. It has to see what the first
-// one did before it decides.
-test('a racing edit ends with its own exit code and shows both versions', async t => {
+// Two operators edit the same revision. The second edit must be refused, and its operator must see both versions, or the first
+// operator's change would be overwritten unnoticed.
+test('a conflicting edit ends with its own exit code and shows both versions', async t => {
   const { files, run } = await setUp(t)
   files.set('new.json', JSON.stringify(URGENT_PROFILE))
   await run('profile', 'put', 'urgent', '--file', 'new.json', '--revision', '0')
   files.set('mine.json', (await run('profile', 'get', 'urgent', '--json')).out.replace('"weight":1', '"weight":5'))
   await run('profile', 'put', 'urgent', '--set', 'weight=9')
-  const lost = await run('profile', 'put', 'urgent', '--file', 'mine.json')
-  t.is(lost.code, EXIT.conflict)
-  t.regex(lost.warnings[0] ?? '', /is at revision 2 by ann, you edited revision 1: nothing was changed/)
-  t.regex(lost.warnings.join('\n'), /field +yours, on revision 1 +revision 2 by ann\nweight +5 +9/)
+  const refused = await run('profile', 'put', 'urgent', '--file', 'mine.json')
+  t.is(refused.code, EXIT.conflict)
+  t.regex(refused.warnings[0] ?? '', /is at revision 2 by ann, you edited revision 1: nothing was changed/)
+  t.regex(refused.warnings.join('\n'), /field +yours, on revision 1 +revision 2 by ann\nweight +5 +9/)
 })
 
 test('each failure has its exit code and one line that says what to do', async t => {
@@ -79,7 +83,7 @@
     [['hosts', '--operator', 'http://127.0.0.1:1'], EXIT.unreachable, /can't be reached \(ECONNREFUSED\)/],
     [['hosts', '--operator', 'nonsense'], EXIT.usage, /nonsense.* is not a URL/],
     [['submit', 'chip-lookup', '--gateway', 'http://127.0.0.1:1'], EXIT.unreachable, /can't be reached/],
-    [['check-settings', 'bad.ini'], EXIT.usage, /bad.ini has \d+ mistakes; mend each/]
+    [['check-settings', 'bad.ini'], EXIT.usage, /bad.ini has \d+ mistakes; correct each/]
   ]
   for (const [args, code, advice] of cases) {
     const result = await run(...args)
@@ -90,7 +94,7 @@
   t.is((await run('profile', 'delete', 'urgent', '--revision', '1')).code, EXIT.refused)
 })
 
-test('outcomes of several processes are added up, and one that does not answer is named', async t => {
+test('the outcomes of several processes are added up, and a process that does not answer is named', async t => {
   const counters = new OutcomeCounters(10)
   for (const waitMs of [1, 1, 400]) counters.noteOutcome('chip-lookup', 'shelter', { outcome: 'done', waitMs }, waitMs > 100)
   let members: readonly object[] = []
@@ -117,20 +121,20 @@
   answer = { outcome: 'refused', reason: 'overloaded', detail: 'too much is waiting', retryAfterMs: 900 }
   const refused = await submit()
   t.is(refused.code, EXIT.refused)
-  t.is(refused.warnings[0], 'jackdawreel: refused: too much is waiting; come back in 900 ms')
+  t.is(refused.warnings[0], 'jackdawreel: refused: too much is waiting; retry after 900 ms')
   answer = { outcome: 'unknown', reason: 'upstreamCut', upstream: 'runner-7' }
   const unknown = await submit()
   t.is(unknown.code, EXIT.unknown)
   t.regex(unknown.warnings[0] ?? '', /upstreamCut at runner-7/)
 })
 
-test('help and version are printed', async t => {
+test('the help and the version are printed', async t => {
   const { run } = await setUp(t)
   t.regex((await run('profile', 'put', '--help')).out, /--revision/)
   t.regex((await run('--version')).out, /^\d+\.\d+\.\d+$/)
 })
 
-test('percentiles of merged buckets', t => {
+test('the percentiles of merged buckets are those of all their counts', t => {
   const merged = mergeBuckets([[{ upToMs: 1, count: 3 }], [{ upToMs: 1, count: 1 }, { upToMs: 8, count: 4 }]])
   t.deepEqual(merged, [{ upToMs: 1, count: 4 }, { upToMs: 8, count: 4 }])
   t.deepEqual([percentileMs(merged, 0.5), percentileMs(merged, 0.51), percentileMs([], 0.5)], [1, 8, undefined])
--- a/src/operator/TerminalConsole.ts
+++ b/src/operator/TerminalConsole.ts
@@ -1,5 +1,5 @@
 /**
- * The console of the real program.
+ * The console of the command line: standard input, output and error.
  */
 
 import { readFile } from 'node:fs/promises'
@@ -12,9 +12,8 @@
 
 export class TerminalConsole implements IConsole {
   /**
-   * A reader such as `head` may close the pipe before all is written. Node reports that as an error of the stream, and
-   * without a listener the operator sees a stack trace in place of the lines asked for. What was wanted has been read,
-   * so the program ends as done.
+   * A reader such as `head` may close the pipe before all output is written. Node reports this as a stream error, and without a
+   * listener the operator would see a stack trace. The reader has what it needs, so the program exits as done.
    */
   public constructor () {
     process.stdout.on('error', (error: NodeJS.ErrnoException) => {
--- a/src/operator/Types.ts
+++ b/src/operator/Types.ts
@@ -1,30 +1,30 @@
 /**
- * What the commands need from the program around them; tests give their own.
+ * The interfaces between the commands and the program that runs them; tests replace the console.
  */
 
 import type { Result } from 'neverthrow'
 import type { CommandError } from './CommandError.js'
 
 export interface IConsole {
-  /** One line on standard output. */
+  /** Writes one line to standard output. */
   print (line: string): void
-  /** One line on standard error. */
+  /** Writes one line to standard error. */
   warn (line: string): void
-  /** Bytes on standard output as they are. */
+  /** Writes bytes to standard output unchanged. */
   printBytes (bytes: Uint8Array): void
   /** Reads a file, or standard input for `-`. */
   readInput (path: string): Promise<Uint8Array>
 }
 
-/** What every command is told. */
+/** The console and the global options of a command. */
 export interface ICommandContext {
   readonly console: IConsole
   /** Base URL of a process's operator listener. */
   readonly operatorUrl: string
-  /** Base URL of a gateway's callers' listener. */
+  /** Base URL of a gateway's listener for callers. */
   readonly gatewayUrl: string
   readonly token: string
-  /** Who edits, for the history. */
+  /** The user's name, which the history of edits shows. */
   readonly operator: string
   readonly json: boolean
 }
--- a/src/operator/Waits.ts
+++ b/src/operator/Waits.ts
@@ -1,12 +1,12 @@
 /**
- * Waiting times from the buckets of one or several processes: percentiles and a plain text histogram.
+ * Merges the waiting time buckets of one or several processes, and computes percentiles and a plain text histogram from them.
  */
 
 import type { ILatencyBucket } from '../common/observability/LatencyHistogram.js'
 
 const BAR_CHARS = 40
-/** Edges of the printed rows, in milliseconds: three a decade, which fit into one screen. */
-const EDGES_MS = [1, 2, 5, 10, 20, 50, 100, 200, 500, 1000, 2000, 5000, 10_000, 30_000, 60_000, 600_000, 3_600_000, Infinity]
+/** Upper limits of the printed rows, in ms: at most three a decade, so that all rows fit on one screen. */
+const ROW_LIMITS_MS = [1, 2, 5, 10, 20, 50, 100, 200, 500, 1000, 2000, 5000, 10_000, 30_000, 60_000, 600_000, 3_600_000, Infinity]
 
 export function mergeBuckets (lists: ReadonlyArray<readonly ILatencyBucket[]>): readonly ILatencyBucket[] {
   const counts = new Map<number, number>()
@@ -14,27 +14,27 @@
   return [...counts].map(([upToMs, count]) => ({ upToMs, count })).sort((a, b) => a.upToMs - b.upToMs)
 }
 
-/** The time that `share` of all are within; absent where nothing was counted. */
+/** Returns the upper limit of the first bucket up to which `share` of all times are counted, or undefined if there are no times. */
 export function percentileMs (buckets: readonly ILatencyBucket[], share: number): number | undefined {
   const total = buckets.reduce((sum, bucket) => sum + bucket.count, 0)
-  let seen = 0
+  let countedSoFar = 0
   for (const { upToMs, count } of buckets) {
-    seen += count
-    if (seen >= total * share) return upToMs
+    countedSoFar += count
+    if (countedSoFar >= total * share) return upToMs
   }
   return undefined
 }
 
-/** One line for each range of times between the shortest and the longest one. */
+/** Returns one line for each row between the shortest and the longest time. */
 export function histogramLines (buckets: readonly ILatencyBucket[]): readonly string[] {
-  const counts = EDGES_MS.map((edge, index) => countBetween(buckets, EDGES_MS[index - 1] ?? 0, edge))
+  const counts = ROW_LIMITS_MS.map((limitMs, index) => countBetween(buckets, ROW_LIMITS_MS[index - 1] ?? 0, limitMs))
   const first = counts.findIndex(count => count > 0)
   const last = counts.findLastIndex(count => count > 0)
-  if (first === -1) return ['  (nothing waited)']
-  const most = Math.max(...counts)
+  if (first === -1) return ['  (no waiting times)']
+  const maxCount = Math.max(...counts)
   return counts.slice(first, last + 1).map((count, index) => {
-    const label = labelOf(EDGES_MS[first + index] ?? Infinity).padStart(12)
-    const bar = '#'.repeat(Math.ceil(count / most * BAR_CHARS)).padEnd(BAR_CHARS)
+    const label = rowLabel(ROW_LIMITS_MS[first + index] ?? Infinity).padStart(12)
+    const bar = '#'.repeat(Math.ceil(count / maxCount * BAR_CHARS)).padEnd(BAR_CHARS)
     return `${label} ${bar} ${count}`
   })
 }
@@ -44,7 +44,7 @@
   return within.reduce((sum, bucket) => sum + bucket.count, 0)
 }
 
-function labelOf (edgeMs: number): string {
-  if (edgeMs === Infinity) return '> 1 h'
-  return edgeMs < 1000 ? `<= ${edgeMs} ms` : `<= ${edgeMs / 1000} s`
+function rowLabel (limitMs: number): string {
+  if (limitMs === Infinity) return '> 1 h'
+  return limitMs < 1000 ? `<= ${limitMs} ms` : `<= ${limitMs / 1000} s`
 }
--- a/src/operator/analysis/LogAnalysis.ts
+++ b/src/operator/analysis/LogAnalysis.ts
@@ -1,6 +1,6 @@
 /**
- * Sums up the logs of a cell: by queue and span of time what became of jobs, where their time went, which runs were thrown away and why, and
- * how long the cell ordered nothing when its owner changed.
+ * Summarizes the logs of a cell: how jobs ended, by queue and time window; how long each part of a job took; which runs had no result and
+ * why; and how long no run was ordered when the owner changed.
  */
 
 import { build } from 'hdr-histogram-js'
@@ -37,7 +37,7 @@
   readonly coreSeconds: number
 }
 
-/** Why callers were sent away. */
+/** A reason why submissions were not accepted, with the number of such answers. */
 export interface IRefusalRow {
   readonly reason: string
   readonly answers: number
@@ -59,7 +59,7 @@
   readonly losses: readonly ILossRow[]
   readonly refusals: readonly IRefusalRow[]
   readonly ownerChanges: readonly IOwnerChangeRow[]
-  /** Share of the jobs of each window that were in time, over all queues, for a plot. */
+  /** The share of jobs that were in time in each window, over all queues, for a plot. */
   readonly inTimeShares: readonly number[]
 }
 
@@ -73,7 +73,7 @@
     losses: lossRows(events, new Map(jobs.map(({ jobId, queue }) => [jobId, queue]))),
     refusals: refusalRows(events),
     ownerChanges: ownerChangeRows(events, originMs),
-    inTimeShares: sharesInTime(windows)
+    inTimeShares: inTimeSharesOf(windows)
   }
 }
 
@@ -88,11 +88,11 @@
   }).sort((a, b) => a.fromS - b.fromS || (a.queue < b.queue ? -1 : 1))
 }
 
-/** What its caller gave up is not owed. */
-function sharesInTime (windows: readonly IWindowRow[]): readonly number[] {
+/** Cancelled jobs don't count, since their callers no longer expect a result. */
+function inTimeSharesOf (windows: readonly IWindowRow[]): readonly number[] {
   return [...groupBy(windows, ({ fromS }) => String(fromS)).values()].map((rows) => {
-    const owed = rows.reduce((sum, { jobs, fates }) => sum + jobs - fates.cancelled, 0)
-    return owed === 0 ? 1 : rows.reduce((sum, { fates }) => sum + fates.inTime, 0) / owed
+    const expectedJobs = rows.reduce((sum, { jobs, fates }) => sum + jobs - fates.cancelled, 0)
+    return expectedJobs === 0 ? 1 : rows.reduce((sum, { fates }) => sum + fates.inTime, 0) / expectedJobs
   })
 }
 
@@ -109,11 +109,11 @@
   }))
 }
 
-function lossRows (events: readonly ILogEvent[], queueOf: ReadonlyMap<string, string>): readonly ILossRow[] {
+function lossRows (events: readonly ILogEvent[], queueByJobId: ReadonlyMap<string, string>): readonly ILossRow[] {
   const rows = new Map<string, { queue: string, end: string, reason: string, runs: number, coreSeconds: number }>()
   for (const { event, fields } of events) {
     if ((event !== 'run.ended' || fields.end === 'done') && event !== 'run.lost') continue
-    const queue = queueOf.get(textOf(fields.requestId)) ?? ''
+    const queue = queueByJobId.get(textOf(fields.requestId)) ?? ''
     const end = event === 'run.lost' ? 'lost' : textOf(fields.end)
     const reason = textOf(event === 'run.lost' ? fields.reason : fields.stopReason)
     const row = rows.get(`${queue} ${end} ${reason}`) ?? { queue, end, reason, runs: 0, coreSeconds: 0 }
@@ -132,19 +132,19 @@
 
 function ownerChangeRows (events: readonly ILogEvent[], originMs: number): readonly IOwnerChangeRow[] {
   const orders = events.filter(({ event }) => event === 'run.ordered').map(({ atMs }) => atMs)
-  const readies = events.filter(({ event }) => event === 'owner.ready')
-  const toS = (ms: number): number => (ms - originMs) / MS_PER_S
+  const readyEvents = events.filter(({ event }) => event === 'owner.ready')
+  const toSeconds = (ms: number): number => (ms - originMs) / MS_PER_S
   return events.filter(({ event, atMs }) => event === 'owner.owned' && atMs > originMs).flatMap(({ atMs, process }): readonly IOwnerChangeRow[] => {
     const lastOrderMs = orders.findLast((orderedAtMs) => orderedAtMs <= atMs)
     const firstOrderMs = orders.find((orderedAtMs) => orderedAtMs > atMs)
-    const readyMs = readies.find((ready) => ready.process === process && ready.atMs >= atMs)?.atMs
+    const readyMs = readyEvents.find((ready) => ready.process === process && ready.atMs >= atMs)?.atMs
     if (lastOrderMs === undefined || firstOrderMs === undefined || readyMs === undefined) return []
     return [{
-      atS: toS(atMs),
+      atS: toSeconds(atMs),
       owner: process,
-      lastOrderS: toS(lastOrderMs),
-      readyS: toS(readyMs),
-      firstOrderS: toS(firstOrderMs),
+      lastOrderS: toSeconds(lastOrderMs),
+      readyS: toSeconds(readyMs),
+      firstOrderS: toSeconds(firstOrderMs),
       gapS: (firstOrderMs - lastOrderMs) / MS_PER_S
     }]
   })
--- a/src/operator/analysis/LogEvents.ts
+++ b/src/operator/analysis/LogEvents.ts
@@ -1,10 +1,10 @@
 /**
- * The log lines of a cell's processes, read back. A line may begin with what a log collector put there; what isn't one of ours is left out.
+ * Parses the log lines of a cell's processes. A line may begin with a prefix that a log collector added; all other lines are ignored.
  */
 
 import { z } from 'zod'
 
-/** One line, with its time counted from an origin that all lines share. */
+/** One log line. Its time counts from the Unix epoch, so lines of different processes are comparable. */
 export interface ILogEvent {
   readonly atMs: number
   readonly event: string
@@ -12,18 +12,18 @@
   readonly fields: Readonly<Record<string, unknown>>
 }
 
-const LINE = z.looseObject({ time: z.iso.datetime(), event: z.string(), process: z.string() })
+const LOG_LINE_SCHEMA = z.looseObject({ time: z.iso.datetime(), event: z.string(), process: z.string() })
 
-/** The events of all files, in the order of their times. */
+/** Returns the events of all files, ordered by time. */
 export function readLogEvents (texts: readonly string[]): readonly ILogEvent[] {
-  const events = texts.flatMap((text) => text.split('\n').flatMap(readLine))
+  const events = texts.flatMap((text) => text.split('\n').flatMap(parseLine))
   return events.sort((a, b) => a.atMs - b.atMs)
 }
 
-function readLine (line: string): readonly ILogEvent[] {
-  const begin = line.indexOf('{')
-  if (begin === -1) return []
-  const parsed = LINE.safeParse(parseJson(line.slice(begin)))
+function parseLine (line: string): readonly ILogEvent[] {
+  const jsonStart = line.indexOf('{')
+  if (jsonStart === -1) return []
+  const parsed = LOG_LINE_SCHEMA.safeParse(parseJson(line.slice(jsonStart)))
   if (!parsed.success) return []
   const { time, event, process, ...fields } = parsed.data
   return [{ atMs: Date.parse(time), event, process, fields }]
@@ -33,7 +33,7 @@
   try {
     return JSON.parse(text)
   } catch {
-    // Collectors cut long lines; what is left of one tells nothing.
+    // Log collectors truncate long lines, which then aren't valid JSON.
     return undefined
   }
 }
--- a/src/operator/arguments/Types.ts
+++ b/src/operator/arguments/Types.ts
@@ -1,5 +1,5 @@
 /**
- * What the definitions of arguments share.
+ * Types that the argument definitions of all commands share.
  */
 
 import type { CommandResult, ICommandContext } from '../Types.js'
@@ -11,5 +11,5 @@
   readonly json: boolean
 }
 
-/** Runs one command and keeps its result. */
+/** Runs one command and stores its result. */
 export type Run = (action: (context: ICommandContext) => CommandResult, options: IGlobalArguments) => Promise<void>
--- a/src/operator/commands/CheckSettings.ts
+++ b/src/operator/commands/CheckSettings.ts
@@ -1,5 +1,5 @@
 /**
- * Checks a settings file as a process would at its start.
+ * The command `check-settings`: checks a settings file as a process does at its start.
  */
 
 import { err, ok } from 'neverthrow'
@@ -16,7 +16,7 @@
   if (settings.isErr()) {
     const { problems } = settings.error
     if (json) console.print(JSON.stringify({ problems }))
-    const advice = `${file} has ${problems.length} ${problems.length === 1 ? 'mistake' : 'mistakes'}; mend each`
+    const advice = `${file} has ${problems.length} ${problems.length === 1 ? 'mistake' : 'mistakes'}; correct each`
     return err(new CommandError('settings.check', file, EXIT.usage, advice, json ? [] : problems.map(describeProblem)))
   }
   const { id, role, region } = settings.value.process
--- a/src/operator/commands/EditInput.ts
+++ b/src/operator/commands/EditInput.ts
@@ -1,5 +1,5 @@
 /**
- * The new version of a configured thing, from a file or from `field=value` pairs, and the revision that it is based on.
+ * Reads the new version of a configuration entry from a file or from `field=value` pairs, and the revision that it is based on.
  */
 
 import { err, ok } from 'neverthrow'
@@ -14,23 +14,23 @@
   readonly revision: number
 }
 
-/** A file holds the bare value, or an entry as `get --json` prints it, which brings its revision along. */
+/** Parses a file that contains either the value alone or an entry as `get --json` prints it, which includes the revision. */
 export function parseEdit (file: string, content: Uint8Array, revision: number | undefined): Result<IEditInput, CommandError> {
   const parsed = parseObject(content)
-  if (parsed === undefined) return fault(file, `${file} holds no JSON object; start from the output of get --json`)
+  if (parsed === undefined) return createInputError(file, `${file} contains no JSON object; start from the output of get --json`)
   const isEntry = typeof parsed['value'] === 'object' && typeof parsed['revision'] === 'number'
-  const seen = revision ?? (isEntry ? parsed['revision'] as number : undefined)
-  if (seen === undefined) return fault(file, 'give the revision that you saw by --revision N; 0 for something new')
-  return ok({ value: isEntry ? parsed['value'] : parsed, revision: seen })
+  const baseRevision = revision ?? (isEntry ? parsed['revision'] as number : undefined)
+  if (baseRevision === undefined) return createInputError(file, 'give the revision that the edit is based on by --revision N, or 0 for a new entry')
+  return ok({ value: isEntry ? parsed['value'] : parsed, revision: baseRevision })
 }
 
 /** Changes some fields of the current version. */
-export function editedValue (entry: IConfigEntry, pairs: readonly string[], revision: number | undefined): Result<IEditInput, CommandError> {
+export function applyChanges (entry: IConfigEntry, pairs: readonly string[], revision: number | undefined): Result<IEditInput, CommandError> {
   const changes: Array<readonly [string, unknown]> = []
   for (const pair of pairs) {
-    const split = pair.indexOf('=')
-    if (split < 1) return fault(pair, `${JSON.stringify(pair)} is not of the form field=value`)
-    changes.push([pair.slice(0, split), parseScalar(pair.slice(split + 1))])
+    const separatorIndex = pair.indexOf('=')
+    if (separatorIndex < 1) return createInputError(pair, `${JSON.stringify(pair)} is not of the form field=value`)
+    changes.push([pair.slice(0, separatorIndex), parseScalar(pair.slice(separatorIndex + 1))])
   }
   return ok({ value: { ...entry.value, ...Object.fromEntries(changes) }, revision: revision ?? entry.revision })
 }
@@ -44,7 +44,7 @@
   }
 }
 
-/** Numbers, true and false as such, all else as text. */
+/** Parses JSON values such as numbers, true and false; any other text stays a string. */
 function parseScalar (text: string): unknown {
   try {
     return JSON.parse(text)
@@ -53,6 +53,6 @@
   }
 }
 
-function fault (peer: string, advice: string): Result<never, CommandError> {
+function createInputError (peer: string, advice: string): Result<never, CommandError> {
   return err(new CommandError('config.input', peer, EXIT.usage, advice))
 }
--- a/src/operator/commands/StateCommands.ts
+++ b/src/operator/commands/StateCommands.ts
@@ -1,5 +1,5 @@
 /**
- * Looking at processes: hosts, jobs, shards, members, outcomes, metrics, dumps; and draining.
+ * The commands that show hosts, jobs, shards, members, outcomes, metrics and state dumps of processes, and the command `drain`.
  */
 
 import { err, ok } from 'neverthrow'
@@ -13,7 +13,7 @@
 import type { Row } from '../Table.js'
 import type { CommandResult, ICommandContext } from '../Types.js'
 
-/** Lists that a process gives under the name of its route. */
+/** Names of lists; the route and the field of the response have the same name. */
 export type ListName = 'hosts' | 'jobs' | 'shards' | 'members'
 
 interface IMemberRow extends Row {
@@ -23,7 +23,7 @@
 
 interface IMetricsReply {
   readonly process: Row
-  /** By what is timed, then by name. */
+  /** Latency summaries by the kind of latency, then by name. */
   readonly times: Readonly<Record<string, Readonly<Record<string, Row>>>>
 }
 
@@ -41,19 +41,20 @@
     this._client = new OperatorClient(_context)
   }
 
-  /** One list of the asked process, or of all processes that have it. */
+  /** Shows a list of the queried process, or of all processes that have such a list. */
   public async list (name: ListName, everywhere: boolean): CommandResult {
-    const replies = await this._ask<Record<string, readonly Row[]>>(`/v1/${name}`, everywhere)
+    const replies = await this._fetch<Record<string, readonly Row[]>>(`/v1/${name}`, everywhere)
     const rows = replies.map(all => all.flatMap(reply => reply[name] ?? []))
     return rows.map(all => this._show({ [name]: all }, tableLines(all)))
   }
 
   public async outcomes ({ service, caller, everywhere, histogram }: IOutcomeOptions): CommandResult {
     const query = service === undefined ? '' : `?service=${encodeURIComponent(service)}`
-    const replies = await this._ask<{ readonly rows: readonly IOutcomeRow[] }>(`/v1/outcomes${query}`, everywhere)
+    const replies = await this._fetch<{ readonly rows: readonly IOutcomeRow[] }>(`/v1/outcomes${query}`, everywhere)
     const rows = replies.map(all => mergeOutcomes(all.flatMap(reply => reply.rows)))
     const chosen = rows.map(all => all.filter(row => caller === undefined || row.caller === caller))
-    return chosen.map(all => this._show({ rows: all }, [...tableLines(all.map(outcomeCells)), ...(histogram ? all.flatMap(waitLines) : [])]))
+    return chosen.map(all =>
+      this._show({ rows: all }, [...tableLines(all.map(outcomeTableRow)), ...(histogram ? all.flatMap(waitHistogramLines) : [])]))
   }
 
   public async metrics (): CommandResult {
@@ -61,31 +62,31 @@
     return reply.map(metrics => this._show(metrics, metricLines(metrics)))
   }
 
-  /** Always JSON: the sections have no common form. */
+  /** Always prints JSON, because the sections have different structures. */
   public async dump (section: string | undefined): CommandResult {
     const query = section === undefined ? '' : `?section=${encodeURIComponent(section)}`
     const reply = await this._client.get<object>(`/v1/dump${query}`)
     return reply.map(state => this._context.console.print(JSON.stringify(state, undefined, this._context.json ? 0 : 2)))
   }
 
-  /** Without a host, the asked process itself stops taking work. */
+  /** Drains a host, or the queried process if no host is given. */
   public async drain (hostId: string | undefined): CommandResult {
     const reply = await this._client.call<object>({ method: 'POST', path: '/v1/drain', body: hostId === undefined ? {} : { hostId } })
-    const what = hostId === undefined ? this._context.operatorUrl : `host ${hostId}`
-    return reply.map(state => this._show(state, [`${what} takes no new work; what runs there goes on to its end`]))
+    const target = hostId === undefined ? this._context.operatorUrl : `host ${hostId}`
+    return reply.map(state => this._show(state, [`${target} accepts no new work; running work is finished`]))
   }
 
-  private async _ask<T> (path: string, everywhere: boolean): Promise<Result<readonly T[], CommandError>> {
+  private async _fetch<T> (path: string, everywhere: boolean): Promise<Result<readonly T[], CommandError>> {
     if (!everywhere) return (await this._client.get<T>(path)).map(reply => [reply])
     const members = await this._client.get<{ readonly members: readonly IMemberRow[] }>('/v1/members')
     if (members.isErr()) return err(members.error)
-    const replies = await Promise.all(members.value.members.map(async member => await this._askMember<T>(member, path)))
+    const replies = await Promise.all(members.value.members.map(async member => await this._fetchFromMember<T>(member, path)))
     return ok(replies.flat())
   }
 
-  /** A process that doesn't have this list is passed over; one that doesn't answer is named. */
-  private async _askMember<T> ({ processId, operatorUrl }: IMemberRow, path: string): Promise<readonly T[]> {
-    const reply = await this._client.at(operatorUrl).get<T>(path)
+  /** Returns no reply if the process doesn't have this list or doesn't answer; the latter is reported as a warning. */
+  private async _fetchFromMember<T> ({ processId, operatorUrl }: IMemberRow, path: string): Promise<readonly T[]> {
+    const reply = await this._client.forProcess(operatorUrl).get<T>(path)
     if (reply.isOk()) return [reply.value]
     if (!reply.error.advice.startsWith('this process has no')) this._context.console.warn(`${processId} is left out: ${reply.error.advice}`)
     return []
@@ -97,13 +98,13 @@
   }
 }
 
-/** Adds up what several processes gave to the same caller of the same service. */
+/** Adds up the outcomes that several processes counted for the same service and caller. */
 export function mergeOutcomes (rows: readonly IOutcomeRow[]): readonly IOutcomeRow[] {
   const merged = new Map<string, IOutcomeRow>()
   for (const row of rows) {
     const key = `${row.service}\n${row.caller}`
-    const known = merged.get(key)
-    merged.set(key, known === undefined ? row : addOutcomes(known, row))
+    const existing = merged.get(key)
+    merged.set(key, existing === undefined ? row : addOutcomes(existing, row))
   }
   return [...merged.values()].sort((a, b) => a.service.localeCompare(b.service) || a.caller.localeCompare(b.caller))
 }
@@ -121,7 +122,7 @@
   }
 }
 
-function outcomeCells ({ waitBuckets, ...counts }: IOutcomeRow): Row {
+function outcomeTableRow ({ waitBuckets, ...counts }: IOutcomeRow): Row {
   return {
     ...counts,
     waitP50Ms: percentileMs(waitBuckets, 0.5),
@@ -136,6 +137,6 @@
   return [...tableLines(metrics), '', ...tableLines(summaries)]
 }
 
-function waitLines ({ service, caller, waitBuckets }: IOutcomeRow): readonly string[] {
+function waitHistogramLines ({ service, caller, waitBuckets }: IOutcomeRow): readonly string[] {
   return ['', `waiting time of ${service} for ${caller}:`, ...histogramLines(waitBuckets)]
 }
