--- a/bin/jackdawreel-controller-packed.ts
+++ b/bin/jackdawreel-controller-packed.ts
@@ -1,12 +1,13 @@
 #!/usr/bin/env -S node --max-old-space-size=180 --max-semi-space-size=8
 /**
- * The controller's binary as it is deployed: the same as `jackdawreel-controller`, from the one script that `npm run pack` makes.
+ * The controller's binary as it is deployed: does the same as `jackdawreel-controller`, but loads the single script that
+ * `npm run pack` builds.
  */
 
 import { fileURLToPath } from 'node:url'
 import { loadScript } from '../src/runtime/CodeCache.js'
 
-/** As the controller itself exits where it can't start. */
+/** The exit code with which the controller also reports that it can't start. */
 const EXIT_START = 3
 
 interface IPackedController {
--- a/bin/jackdawreel-gateway.ts
+++ b/bin/jackdawreel-gateway.ts
@@ -7,6 +7,6 @@
 import { runDaemon } from '../src/daemon/runDaemon.js'
 
 await runDaemon('gateway', async (settings) => {
-  if (settings.caller === undefined) throw new Error('[caller] is missing: a gateway needs an address for its callers')
+  if (settings.caller === undefined) throw new Error('the section [caller] is missing: a gateway needs an address to listen for callers')
   return await GatewayDaemon.create(settings, settings.caller)
 })
--- a/bin/jackdawreel.ts
+++ b/bin/jackdawreel.ts
@@ -1,6 +1,6 @@
 #!/usr/bin/env node
 /**
- * The operators' command line.
+ * The binary of the operators' command line: `jackdawreel COMMAND`.
  */
 
 import { Program } from '../src/operator/Program.js'
--- a/scripts/pack.mjs
+++ b/scripts/pack.mjs
@@ -1,6 +1,6 @@
 /**
- * Makes two scripts of the compiled controller: its binary, and one with all that it needs. Both are CommonJS, which starts sooner
- * than modules do.
+ * Bundles the compiled controller into two scripts: its binary, and one with the controller and its dependencies. Both are CommonJS,
+ * which starts faster than ES modules.
  */
 
 import { build } from 'esbuild'
@@ -13,7 +13,7 @@
   target: 'node20',
   absWorkingDir: fileURLToPath(new URL('..', import.meta.url)),
   alias: { undici: './scripts/packedUndici.cjs' },
-  // Loaded late, and only where a command line is read or the product's own gateways run.
+  // These packages are loaded on demand, if a command line is parsed or if a gateway of jackdawreel runs.
   external: ['moleculer', 'moleculer-web', 'yargs'],
   supported: { 'dynamic-import': false },
   define: { 'import.meta.url': 'scriptUrl' },
--- a/scripts/packedUndici.cjs
+++ b/scripts/packedUndici.cjs
@@ -1,6 +1,6 @@
 /**
- * What the packed controller takes of undici: its clients. The package's entry also loads fetch, cookies, caches and WebSocket, which
- * each restarted process would pay for before it takes a caller again.
+ * The part of undici that the packed controller uses: the clients. The package's main module also loads fetch, cookies, caches and
+ * WebSocket, which would delay the start of each process until it accepts callers.
  */
 
 'use strict'
