--- a/test/ControllerPath.test.ts
+++ b/test/ControllerPath.test.ts
@@ -43,7 +43,7 @@
 }
 
 function submitted (judge: Judge, jobId: string, counts: readonly number[]): void {
-  judge.jobs.set(jobId, { jobId, gang: false, cpu: 500, counts, accepted: true, maybeTaken: true, refusedTries: 0 })
+  judge.jobs.set(jobId, { jobId, gang: false, cpu: 500, counts, accepted: true, isPossiblyAccepted: true, refusedSubmissions: 0 })
 }
 
 async function accepted (controller: IController | undefined, path: string, body: string): Promise<void> {
--- a/test/soak/ConfigProbes.ts
+++ b/test/soak/ConfigProbes.ts
@@ -1,6 +1,7 @@
 /**
- * Asks each controller of a soak for the queues that versions of the configuration add, and has the judge check that no
- * life of a process goes back to an older version, and that all have the newest one in the end.
+ * Finds out which version of the configuration each controller of a soak serves: each version adds a queue, and the probes request
+ * these queues. The checker then verifies that no process goes back to an older version while it runs, and that every process has
+ * the newest version in the end.
  */
 
 import { Agent, request } from 'undici'
@@ -11,27 +12,27 @@
 import type { ProcessHandle } from '../support/Processes.js'
 import type { Judge } from './Judge.js'
 
-const PROBE_EVERY_MS = 250
+const PROBE_INTERVAL_MS = 250
 const TIMEOUT_MS = 2000
 const STATUS_OK = 200
 const STATUS_NOT_FOUND = 404
 
 export class ConfigProbes {
   private readonly _agent = new Agent({ keepAliveTimeout: 60_000, connections: 1 })
-  /** The newest version that each life of a process has shown. */
-  private readonly _shown = new Map<ProcessHandle, number>()
+  /** The newest version that each process has served since it started. */
+  private readonly _served = new Map<ProcessHandle, number>()
   private _timer: NodeJS.Timeout | undefined
 
   public constructor (
-    private readonly _controllers: readonly IController[], private readonly _platform: PlatformStandIn, private readonly _judge: Judge
+    private readonly _controllers: readonly IController[], private readonly _platform: PlatformStandIn, private readonly _checker: Judge
   ) {}
 
   public start (): void {
     this._timer = setInterval(() => {
       for (const controller of this._controllers) {
-        this._probe(controller).catch((error: unknown) => { this._judge.violations.push(`probe: ${String(error)}`) })
+        this._probe(controller).catch((error: unknown) => { this._checker.violations.push(`configuration probe: ${String(error)}`) })
       }
-    }, PROBE_EVERY_MS)
+    }, PROBE_INTERVAL_MS)
   }
 
   public async close (): Promise<void> {
@@ -39,22 +40,22 @@
     await this._agent.destroy()
   }
 
-  /** Controllers that don't serve the newest version now. */
-  public async behind (): Promise<readonly string[]> {
+  /** The ids of the controllers that don't serve the newest version now. */
+  public async outdatedControllers (): Promise<readonly string[]> {
     await Promise.all(this._controllers.map(async (controller) => { await this._probe(controller) }))
-    return this._controllers.filter(({ process }) => this._shown.get(process) !== this._platform.configVersion).map(({ id }) => id)
+    return this._controllers.filter(({ process }) => this._served.get(process) !== this._platform.configVersion).map(({ id }) => id)
   }
 
   private async _probe (controller: IController): Promise<void> {
     const { id, process } = controller
     const version = this._platform.configVersion
-    const shown = this._shown.get(process)
-    if (shown !== undefined && await this._ask(controller, shown) === STATUS_NOT_FOUND) this._judge.noteOlderConfig(id, shown)
-    if (await this._ask(controller, version) === STATUS_OK) this._shown.set(process, Math.max(version, this._shown.get(process) ?? 0))
+    const served = this._served.get(process)
+    if (served !== undefined && await this._probeStatus(controller, served) === STATUS_NOT_FOUND) this._checker.reportConfigRollback(id, served)
+    if (await this._probeStatus(controller, version) === STATUS_OK) this._served.set(process, Math.max(version, this._served.get(process) ?? 0))
   }
 
-  /** The status; absent where this life of the process gave no whole answer. */
-  private async _ask ({ urls }: IController, version: number): Promise<number | undefined> {
+  /** Requests the queue that this version added and returns the HTTP status; undefined if no complete answer arrives. */
+  private async _probeStatus ({ urls }: IController, version: number): Promise<number | undefined> {
     if (urls === undefined) return undefined
     try {
       const answer = await request(urls.callers + probePrefix(version), {
--- a/test/soak/Judge.ts
+++ b/test/soak/Judge.ts
@@ -1,131 +1,131 @@
 /**
- * Checks, while a soak runs, what callers and hosts are promised. It sees only what callers were answered and what hosts
- * began and ended.
+ * Checks, while a soak runs, the guarantees that callers and hosts are given. It uses only the answers that callers received and
+ * the runs that hosts started and ended.
  */
 
 import type { IHostEvents } from '../../platform/standins/HostStandIn.js'
 
-export interface IJudgedJob {
+export interface ICheckedJob {
   readonly jobId: string
   readonly gang: boolean
   readonly cpu: number
-  /** Tasks of each step; a step waits for the one before. */
+  /** The number of tasks of each step; a step starts after the step before it is done. */
   readonly counts: readonly number[]
   accepted: boolean
-  /** Whether any try may have been taken: one without an answer, or one that was accepted. */
-  maybeTaken: boolean
-  refusedTries: number
+  /** Whether a submission was accepted, or may have been accepted because its answer did not arrive. */
+  isPossiblyAccepted: boolean
+  refusedSubmissions: number
   cancelledAtMs?: number
   finalState?: string
 }
 
-interface IRunning { readonly hostId: string, readonly run: number }
-interface IDone { readonly hostId: string, readonly atMs: number }
+interface IRunningTask { readonly hostId: string, readonly run: number }
+interface IDoneTask { readonly hostId: string, readonly atMs: number }
 
-/** A start this long after the cancel was acknowledged is one too many, in ms. */
+/** A start later than this after the cancellation was acknowledged is a violation, in ms. */
 const CANCEL_SLACK_MS = 3000
-/** Ends of a host that was disturbed within this time may never have been heard of, in ms. */
-const UNHEARD_MS = 3000
+/** If a host was disturbed after, or at most this long before, a run ended there, the owner may never learn of the end; in ms. */
+const UNREPORTED_END_MS = 3000
 const MAX_ATTEMPTS = 6
 
 export class Judge implements IHostEvents {
   public readonly violations: string[] = []
-  public readonly jobs = new Map<string, IJudgedJob>()
+  public readonly jobs = new Map<string, ICheckedJob>()
   public starts = 0
-  private readonly _running = new Map<string, Set<string>>()
-  private readonly _runs = new Map<string, IRunning>()
-  private readonly _done = new Map<string, IDone>()
+  private readonly _runningByHost = new Map<string, Set<string>>()
+  private readonly _runs = new Map<string, IRunningTask>()
+  private readonly _doneTasks = new Map<string, IDoneTask>()
   private readonly _failures = new Map<string, number>()
   private readonly _disturbedAtMs = new Map<string, number>()
 
   public constructor (private readonly _hostCpu: number) {}
 
-  /** The host restarted, or can't be heard. */
-  public noteDisturbed (hostId: string): void {
+  /** Records that the host restarted or that its network path changed, so that its reports may be lost. */
+  public recordDisturbance (hostId: string): void {
     this._disturbedAtMs.set(hostId, performance.now())
   }
 
   public onStart (hostId: string, task: string, run: number): void {
     this.starts += 1
     const job = this._jobOf(task)
-    if (job === undefined) return this._report(`${task} run ${run} on ${hostId}: nobody submitted it`)
+    if (job === undefined) return this._report(`${task} run ${run} on ${hostId}: the job was never submitted`)
     const running = [...this._runs].filter(([key]) => key.startsWith(`${task}@`))
-    if (running.length > 0) this._report(`${task} run ${run} began on ${hostId} while it runs on ${running.map(([, each]) => each.hostId).join()}`)
-    this._checkDone(job, task, run, hostId)
-    this._checkOrder(job, task)
-    if (job.cancelledAtMs !== undefined && performance.now() - job.cancelledAtMs > CANCEL_SLACK_MS) this._report(`${task} began after its job was cancelled`)
-    if (!job.maybeTaken && job.refusedTries > 0) this._report(`${task} began although each try was refused`)
-    if ((this._failures.get(task) ?? 0) >= MAX_ATTEMPTS) this._report(`${task} began again after ${MAX_ATTEMPTS} failed runs`)
+    if (running.length > 0) this._report(`${task} run ${run} started on ${hostId} while it runs on ${running.map(([, each]) => each.hostId).join()}`)
+    this._checkNotDone(job, task, run, hostId)
+    this._checkStepOrder(job, task)
+    if (job.cancelledAtMs !== undefined && performance.now() - job.cancelledAtMs > CANCEL_SLACK_MS) this._report(`${task} started after its job was cancelled`)
+    if (!job.isPossiblyAccepted && job.refusedSubmissions > 0) this._report(`${task} started although every submission of its job was refused`)
+    if ((this._failures.get(task) ?? 0) >= MAX_ATTEMPTS) this._report(`${task} started again after ${MAX_ATTEMPTS} failed runs`)
     this._runs.set(`${task}@${hostId}`, { hostId, run })
-    const here = this._running.get(hostId) ?? new Set<string>()
-    here.add(task)
-    this._running.set(hostId, here)
-    this._checkCapacity(hostId, here)
+    const tasksOnHost = this._runningByHost.get(hostId) ?? new Set<string>()
+    tasksOnHost.add(task)
+    this._runningByHost.set(hostId, tasksOnHost)
+    this._checkCapacity(hostId, tasksOnHost)
   }
 
-  public onEnd (hostId: string, task: string, _run: number, how: string): void {
+  public onEnd (hostId: string, task: string, _run: number, outcome: string): void {
     this._runs.delete(`${task}@${hostId}`)
-    this._running.get(hostId)?.delete(task)
-    if (how === 'done') this._done.set(task, { hostId, atMs: performance.now() })
-    if (how === 'failed') this._failures.set(task, (this._failures.get(task) ?? 0) + 1)
+    this._runningByHost.get(hostId)?.delete(task)
+    if (outcome === 'done') this._doneTasks.set(task, { hostId, atMs: performance.now() })
+    if (outcome === 'failed') this._failures.set(task, (this._failures.get(task) ?? 0) + 1)
   }
 
-  public noteState (jobId: string, state: string): void {
+  public recordState (jobId: string, state: string): void {
     const job = this.jobs.get(jobId)
     if (job === undefined) return
     if (job.finalState !== undefined && job.finalState !== state) this._report(`${jobId} was ${job.finalState} and is ${state}`)
     if (state === 'completed' || state === 'failed' || state === 'cancelled') job.finalState = state
     if (state === 'completed') this._checkCompleted(job)
-    if (state === 'failed' && !this._hasFailed(job)) this._report(`${jobId} is failed without cause`)
-    if (state === 'cancelled' && job.cancelledAtMs === undefined) this._report(`${jobId} is cancelled, and nobody asked`)
+    if (state === 'failed' && !this._hasFailed(job)) this._report(`${jobId} is failed although not enough of its runs failed`)
+    if (state === 'cancelled' && job.cancelledAtMs === undefined) this._report(`${jobId} is cancelled although no caller cancelled it`)
   }
 
-  public noteUnknown (jobId: string): void {
+  public recordUnknownJob (jobId: string): void {
     const job = this.jobs.get(jobId)
-    if (job?.accepted === true) this._report(`${jobId} was accepted and is not known`)
+    if (job?.accepted === true) this._report(`${jobId} was accepted and is unknown now`)
   }
 
-  /** One life of a process had served a queue of this version. */
-  public noteOlderConfig (controllerId: string, version: number): void {
-    this._report(`${controllerId} went back behind version ${version} of the configuration`)
+  /** Records that a process no longer serves a queue of a version that it has served since it started. */
+  public reportConfigRollback (controllerId: string, version: number): void {
+    this._report(`${controllerId} went back to a configuration older than version ${version}`)
   }
 
-  /** After all faults: every process has to have the newest version. */
-  public noteBehind (controllerId: string, version: number): void {
+  /** Records that a process doesn't have the newest version although the faults have ended. */
+  public reportOutdatedConfig (controllerId: string, version: number): void {
     this._report(`${controllerId} does not have version ${version} of the configuration after the faults have ended`)
   }
 
-  /** After all faults: every accepted job has to have an end. */
-  public noteUnfinished (jobId: string, state: string): void {
+  /** Records that an accepted job has not ended although the faults have ended. */
+  public reportUnfinishedJob (jobId: string, state: string): void {
     this._report(`${jobId} is still ${state} after the faults have ended`)
   }
 
-  private _checkDone (job: IJudgedJob, task: string, run: number, hostId: string): void {
-    const done = this._done.get(task)
+  private _checkNotDone (job: ICheckedJob, task: string, run: number, hostId: string): void {
+    const done = this._doneTasks.get(task)
     if (done === undefined || job.gang) return
     const disturbedAtMs = this._disturbedAtMs.get(done.hostId) ?? -Infinity
-    if (disturbedAtMs > done.atMs - UNHEARD_MS) return
-    this._report(`${task} run ${run} began on ${hostId} after it was done on ${done.hostId} ${Math.round(performance.now() - done.atMs)} ms before`)
+    if (disturbedAtMs > done.atMs - UNREPORTED_END_MS) return
+    this._report(`${task} run ${run} started on ${hostId} although it was done on ${done.hostId} ${Math.round(performance.now() - done.atMs)} ms before`)
   }
 
-  private _checkOrder (job: IJudgedJob, task: string): void {
+  private _checkStepOrder (job: ICheckedJob, task: string): void {
     const step = Number(task.split('.')[2])
     if (step === 0) return
-    if (!this._isStepDone(job, step - 1)) this._report(`${task} began before step ${step - 1} was done`)
+    if (!this._isStepDone(job, step - 1)) this._report(`${task} started before step ${step - 1} was done`)
   }
 
-  private _checkCompleted (job: IJudgedJob): void {
+  private _checkCompleted (job: ICheckedJob): void {
     job.counts.forEach((_, step) => {
-      if (!this._isStepDone(job, step)) this._report(`${job.jobId} is completed, and step ${step} is not done`)
+      if (!this._isStepDone(job, step)) this._report(`${job.jobId} is completed although step ${step} is not done`)
     })
   }
 
-  private _isStepDone (job: IJudgedJob, step: number): boolean {
+  private _isStepDone (job: ICheckedJob, step: number): boolean {
     const tasks = Array.from({ length: job.counts[step] ?? 0 }, (_, index) => `${job.jobId}.0.${step}.${index}`)
-    return job.gang ? tasks.some((task) => this._done.has(task)) : tasks.every((task) => this._done.has(task))
+    return job.gang ? tasks.some((task) => this._doneTasks.has(task)) : tasks.every((task) => this._doneTasks.has(task))
   }
 
-  private _hasFailed (job: IJudgedJob): boolean {
+  private _hasFailed (job: ICheckedJob): boolean {
     const failures = [...this._failures].filter(([task]) => task.startsWith(job.jobId)).map(([, count]) => count)
     return job.gang ? failures.reduce((sum, count) => sum + count, 0) >= MAX_ATTEMPTS : Math.max(0, ...failures) >= MAX_ATTEMPTS
   }
@@ -135,7 +135,7 @@
     if (used > this._hostCpu) this._report(`${hostId} runs ${used} of ${this._hostCpu} millicores`)
   }
 
-  private _jobOf (task: string): IJudgedJob | undefined {
+  private _jobOf (task: string): ICheckedJob | undefined {
     return this.jobs.get(task.slice(0, 16))
   }
 
--- a/test/soak/Soak.ts
+++ b/test/soak/Soak.ts
@@ -1,5 +1,6 @@
 /**
- * One soak: real controllers beside the stand-in of the platform, callers, faults from a seed, and a judge.
+ * Runs one soak: real controllers with the stand-in of the platform, callers, faults drawn from a seed, and a checker of the
+ * guarantees.
  */
 
 import { PlatformStandIn } from '../../platform/standins/PlatformStandIn.js'
@@ -12,7 +13,7 @@
 
 export interface ISoakOptions {
   readonly seed: number
-  /** How long faults are injected, in ms. */
+  /** The time for which faults are injected, in ms. */
   readonly faultsMs: number
   readonly controllers: number
   readonly hosts: number
@@ -25,34 +26,34 @@
   readonly accepted: number
   readonly starts: number
   readonly faults: readonly string[]
-  /** The last log lines of each process, by its id; for a seed that failed. */
+  /** The last log lines of each process, by its id; written to files if the seed fails. */
   readonly logs: ReadonlyMap<string, readonly string[]>
 }
 
 const HOST_CPU = 4000
 const MAX_HOLD_MS = 3000
 const FAIL_SHARE = 0.03
-const CALLER_EVERY_MS = 60
-const FAULT_EVERY_MS = 900
-/** After the faults a job has this long to end, in ms: the longest lease, its margin, and its runs. */
-const SETTLE_MS = 40_000
+const SUBMIT_INTERVAL_MS = 60
+const FAULT_INTERVAL_MS = 900
+/** The time that jobs have to end after the last fault, in ms; it covers the longest lease, its margin, and the runs. */
+const SETTLE_TIMEOUT_MS = 40_000
 const POLL_MS = 200
 
-export async function soak (options: ISoakOptions): Promise<ISoakReport> {
+export async function runSoak (options: ISoakOptions): Promise<ISoakReport> {
   const platform = new PlatformStandIn({ seed: options.seed, hosts: options.hosts, hostCpu: HOST_CPU, maxHoldMs: MAX_HOLD_MS, failShare: FAIL_SHARE })
-  const judge = new Judge(HOST_CPU)
-  await platform.start(judge)
+  const checker = new Judge(HOST_CPU)
+  await platform.start(checker)
   const cell = new ControllerCell(platform, MAX_HOLD_MS)
   const random = new SeededRandom(options.seed + 1)
-  const callers = new Callers(cell.controllers, judge, new SeededRandom(options.seed + 2))
-  const probes = new ConfigProbes(cell.controllers, platform, judge)
-  const faults = new Faults(cell, platform, judge, random)
+  const callers = new Callers(cell.controllers, checker, new SeededRandom(options.seed + 2))
+  const probes = new ConfigProbes(cell.controllers, platform, checker)
+  const faults = new Faults(cell, platform, checker, random)
   try {
     await cell.start(options.controllers)
     probes.start()
-    await play(options.faultsMs, callers, faults, random)
-    await settle(callers, judge)
-    await settleConfig(probes, judge, platform.configVersion)
+    await runWithFaults(options.faultsMs, callers, faults, random)
+    await waitForJobs(callers, checker)
+    await waitForConfig(probes, checker, platform.configVersion)
   } finally {
     await probes.close()
     await callers.close()
@@ -61,41 +62,41 @@
   }
   const logs = new Map(cell.controllers.map(({ id, process }) => [id, [...process.stdout, ...process.stderr]]))
   const { submitted, accepted } = callers
-  return { seed: options.seed, violations: judge.violations, submitted, accepted, starts: judge.starts, faults: faults.log, logs }
+  return { seed: options.seed, violations: checker.violations, submitted, accepted, starts: checker.starts, faults: faults.log, logs }
 }
 
-async function play (forMs: number, callers: Callers, faults: Faults, random: SeededRandom): Promise<void> {
+async function runWithFaults (forMs: number, callers: Callers, faults: Faults, random: SeededRandom): Promise<void> {
   const untilMs = performance.now() + forMs
-  const calling = setInterval(() => { callers.submit() }, CALLER_EVERY_MS)
+  const submitTimer = setInterval(() => { callers.submit() }, SUBMIT_INTERVAL_MS)
   while (performance.now() < untilMs) {
-    await pause(FAULT_EVERY_MS * (0.4 + random.next()))
+    await pause(FAULT_INTERVAL_MS * (0.4 + random.next()))
     faults.inject()
   }
-  await faults.ended()
-  clearInterval(calling)
+  await faults.waitUntilEnded()
+  clearInterval(submitTimer)
   await callers.settled()
 }
 
-async function settle (callers: Callers, judge: Judge): Promise<void> {
-  const untilMs = performance.now() + SETTLE_MS
-  let open = [...judge.jobs.values()].filter((job) => job.accepted)
+async function waitForJobs (callers: Callers, checker: Judge): Promise<void> {
+  const untilMs = performance.now() + SETTLE_TIMEOUT_MS
+  let open = [...checker.jobs.values()].filter((job) => job.accepted)
   const states = new Map<string, string | undefined>()
   while (open.length > 0 && performance.now() < untilMs) {
     for (const { jobId } of open) states.set(jobId, await callers.state(jobId, callers.queues.get(jobId) ?? 'urgent'))
     open = open.filter(({ finalState }) => finalState === undefined)
     if (open.length > 0) await pause(POLL_MS)
   }
-  for (const { jobId } of open) judge.noteUnfinished(jobId, states.get(jobId) ?? 'not told')
+  for (const { jobId } of open) checker.reportUnfinishedJob(jobId, states.get(jobId) ?? 'in an unknown state')
 }
 
-async function settleConfig (probes: ConfigProbes, judge: Judge, version: number): Promise<void> {
-  const untilMs = performance.now() + SETTLE_MS
-  let behind = await probes.behind()
-  while (behind.length > 0 && performance.now() < untilMs) {
+async function waitForConfig (probes: ConfigProbes, checker: Judge, version: number): Promise<void> {
+  const untilMs = performance.now() + SETTLE_TIMEOUT_MS
+  let outdated = await probes.outdatedControllers()
+  while (outdated.length > 0 && performance.now() < untilMs) {
     await pause(POLL_MS)
-    behind = await probes.behind()
+    outdated = await probes.outdatedControllers()
   }
-  for (const id of behind) judge.noteBehind(id, version)
+  for (const id of outdated) checker.reportOutdatedConfig(id, version)
 }
 
 async function pause (ms: number): Promise<void> {
