--- a/test/prove/ConfigProofs.ts
+++ b/test/prove/ConfigProofs.ts
@@ -1,5 +1,5 @@
 /**
- * Proofs on configuration: accepted changes are in force everywhere and never revert.
+ * Proofs about the configuration: accepted changes take effect in every process and are never reverted.
  */
 
 import { request } from 'undici'
@@ -8,7 +8,7 @@
 import { sleep, withCell } from './Harness.js'
 
 import type { Cell } from '../support/Cell.js'
-import type { IProof, IVerdict } from './Types.js'
+import type { IProof, IProofResult } from './Types.js'
 
 const PROFILE = 'patient'
 const OPERATORS = 4
@@ -18,7 +18,7 @@
 const RACE_MS = 8000
 const HEADERS = { authorization: `Bearer ${OPERATOR_TOKEN}` }
 
-interface IAccepted {
+interface IAcceptedChange {
   readonly revision: number
   readonly atMs: number
   readonly weight: number
@@ -28,8 +28,8 @@
   readonly entry?: { readonly revision: number, readonly value: { readonly weight: number } }
 }
 
-/** Follows the revision that each process decides by, and notes when it was first seen to have each. */
-class RevisionWatch {
+/** Polls the configuration revision that each process uses, and records when each process was first seen with each revision. */
+class RevisionMonitor {
   public readonly violations: string[] = []
   public observations = 0
   private readonly _firstSeenMs = new Map<string, Map<number, number>>()
@@ -44,12 +44,12 @@
     clearInterval(this._timer)
   }
 
-  /** Forgets what a process had, when it was killed; what it shows next must still be the newest accepted. */
-  public restarted (processId: string, atLeast: number): void {
+  /** Sets the lowest revision that a process may show after it was killed and restarted: the newest accepted one. */
+  public setLowestRevision (processId: string, atLeast: number): void {
     this._highest.set(processId, atLeast)
   }
 
-  /** When a process had this revision or a later one. */
+  /** The time at which a process was first seen with this revision or a later one; Infinity if it never was. */
   public inForceAtMs (processId: string, revision: number): number {
     const seen = [...this._firstSeenMs.get(processId) ?? []].filter(([each]) => each >= revision).map(([, atMs]) => atMs)
     return Math.min(...seen)
@@ -57,12 +57,12 @@
 
   private async _poll (): Promise<void> {
     await Promise.all(this._cell.processes.filter(({ handle }) => handle.running).map(async ({ processId, operatorUrl }) => {
-      const reply = await askReplica(operatorUrl)
-      if (reply?.entry !== undefined) this._see(processId, reply.entry.revision)
+      const reply = await fetchReplicaEntry(operatorUrl)
+      if (reply?.entry !== undefined) this._recordRevision(processId, reply.entry.revision)
     }))
   }
 
-  private _see (processId: string, revision: number): void {
+  private _recordRevision (processId: string, revision: number): void {
     this.observations += 1
     const highest = this._highest.get(processId) ?? 0
     if (revision < highest) this.violations.push(`${processId} went back from revision ${highest} to ${revision}`)
@@ -73,7 +73,7 @@
   }
 }
 
-async function askReplica (operatorUrl: string): Promise<IEntryReply | undefined> {
+async function fetchReplicaEntry (operatorUrl: string): Promise<IEntryReply | undefined> {
   try {
     const answer = await request(`${operatorUrl}/v1/config/profile/${PROFILE}?source=replica`, { headers: HEADERS })
     return await answer.body.json() as IEntryReply
@@ -82,19 +82,19 @@
   }
 }
 
-/** Reads, edits and puts, over and over; gives what was accepted. */
-async function operate (cell: Cell, operator: number, untilMs: number): Promise<readonly IAccepted[]> {
-  const accepted: IAccepted[] = []
+/** Reads and edits the profile again and again until the given time; returns the accepted changes. */
+async function editRepeatedly (cell: Cell, operator: number, untilMs: number): Promise<readonly IAcceptedChange[]> {
+  const accepted: IAcceptedChange[] = []
   for (let edit = 1; performance.now() < untilMs; edit++) {
     const process = cell.processes[(operator + edit) % cell.processes.length]
-    const change = process === undefined ? undefined : await putOnce(process.operatorUrl, operator + edit / 1000)
+    const change = process === undefined ? undefined : await editOnce(process.operatorUrl, operator + edit / 1000)
     if (change !== undefined) accepted.push(change)
     await sleep(20 * operator)
   }
   return accepted
 }
 
-async function putOnce (operatorUrl: string, weight: number): Promise<IAccepted | undefined> {
+async function editOnce (operatorUrl: string, weight: number): Promise<IAcceptedChange | undefined> {
   try {
     const path = `${operatorUrl}/v1/config/profile/${PROFILE}`
     const seen = await (await request(path, { headers: HEADERS })).body.json() as IEntryReply
@@ -108,60 +108,60 @@
   }
 }
 
-function checkInForce (cell: Cell, watch: RevisionWatch, accepted: readonly IAccepted[], limitMs: number): void {
+function checkInForce (cell: Cell, monitor: RevisionMonitor, accepted: readonly IAcceptedChange[], limitMs: number): void {
   for (const { revision, atMs } of accepted) {
     for (const { processId } of cell.processes) {
-      const tookMs = watch.inForceAtMs(processId, revision) - atMs
-      if (!(tookMs <= limitMs)) watch.violations.push(`${processId} had revision ${revision} ${tookMs.toFixed(0)} ms after it was accepted`)
+      const tookMs = monitor.inForceAtMs(processId, revision) - atMs
+      if (!(tookMs <= limitMs)) monitor.violations.push(`${processId} had revision ${revision} ${tookMs.toFixed(0)} ms after it was accepted`)
     }
   }
 }
 
-/** No two accepted changes share a revision: each would have overwritten the other unseen. */
-function checkDistinct (watch: RevisionWatch, accepted: readonly IAccepted[]): void {
-  const byRevision = new Map<number, IAccepted>()
+/** Checks that no two accepted changes have the same revision: one of them would have overwritten the other unnoticed. */
+function checkDistinct (monitor: RevisionMonitor, accepted: readonly IAcceptedChange[]): void {
+  const byRevision = new Map<number, IAcceptedChange>()
   for (const change of accepted) {
     const other = byRevision.get(change.revision)
-    if (other !== undefined) watch.violations.push(`revision ${change.revision} was accepted twice, with weights ${other.weight} and ${change.weight}`)
+    if (other !== undefined) monitor.violations.push(`revision ${change.revision} was accepted twice, with weights ${other.weight} and ${change.weight}`)
     byRevision.set(change.revision, change)
   }
 }
 
-/** A change is accepted and the store goes down in the same moment; later a process restarts while it is still down. */
-async function changeThenOutage (cell: Cell, watch: RevisionWatch): Promise<readonly IAccepted[]> {
-  const last = await putOnce(cell.gateways()[0]?.operatorUrl ?? '', 7)
+/** Makes a change, takes the store down at once, and later restarts two processes while the store is still down. */
+async function changeThenOutage (cell: Cell, monitor: RevisionMonitor): Promise<readonly IAcceptedChange[]> {
+  const last = await editOnce(cell.gateways()[0]?.operatorUrl ?? '', 7)
   await cell.control(cell.storeControlUrl, { outage: 'refuse' })
   if (last === undefined) {
-    watch.violations.push('a change was not accepted with the store up')
+    monitor.violations.push('a change was not accepted with the store up')
     return []
   }
   await sleep(IN_FORCE_IN_OUTAGE_LIMIT_MS)
-  checkInForce(cell, watch, [last], IN_FORCE_IN_OUTAGE_LIMIT_MS)
+  checkInForce(cell, monitor, [last], IN_FORCE_IN_OUTAGE_LIMIT_MS)
   for (const victim of [cell.schedulers()[1], cell.gateways()[1]]) {
     if (victim === undefined) continue
     await victim.handle.kill()
-    watch.restarted(victim.processId, last.revision)
+    monitor.setLowestRevision(victim.processId, last.revision)
     const restarted = await cell.startDaemon(victim.role, victim.region, victim.processId)
-    const reply = await askReplica(restarted.operatorUrl)
-    if ((reply?.entry?.revision ?? 0) < last.revision) watch.violations.push(`${victim.processId} restarted with revision ${reply?.entry?.revision}`)
+    const reply = await fetchReplicaEntry(restarted.operatorUrl)
+    if ((reply?.entry?.revision ?? 0) < last.revision) monitor.violations.push(`${victim.processId} restarted with revision ${reply?.entry?.revision}`)
   }
   await cell.control(cell.storeControlUrl, { outage: 'none' })
   await sleep(IN_FORCE_LIMIT_MS)
   return [last]
 }
 
-async function race (cell: Cell, scale: number): Promise<IVerdict> {
-  const watch = new RevisionWatch(cell)
+async function runEditRace (cell: Cell, scale: number): Promise<IProofResult> {
+  const monitor = new RevisionMonitor(cell)
   await cell.control(cell.storeControlUrl, { loseAnswers: 0.2, seed: 18 })
   const untilMs = performance.now() + RACE_MS * scale
-  const accepted = (await Promise.all(Array.from({ length: OPERATORS }, async (_, index) => await operate(cell, index + 1, untilMs)))).flat()
+  const accepted = (await Promise.all(Array.from({ length: OPERATORS }, async (_, index) => await editRepeatedly(cell, index + 1, untilMs)))).flat()
   await sleep(IN_FORCE_LIMIT_MS + POLL_MS)
-  checkInForce(cell, watch, accepted, IN_FORCE_LIMIT_MS)
-  checkDistinct(watch, accepted)
+  checkInForce(cell, monitor, accepted, IN_FORCE_LIMIT_MS)
+  checkDistinct(monitor, accepted)
   await cell.control(cell.storeControlUrl, { loseAnswers: 0 })
-  await changeThenOutage(cell, watch)
-  watch.stop()
-  return { checked: accepted.length, violations: watch.violations.slice(0, 10), notes: { observations: watch.observations } }
+  await changeThenOutage(cell, monitor)
+  monitor.stop()
+  return { checked: accepted.length, violations: monitor.violations.slice(0, 10), notes: { observations: monitor.observations } }
 }
 
 const profiles: IProof = {
@@ -169,7 +169,7 @@
   isTimed: true,
   property: 'each process decides by a confirmed edit within 2 s, and by no older one afterwards',
   failure: 'four operators race on one profile; the store loses a fifth of its answers, then goes down; processes restart meanwhile',
-  run: async (scale) => await withCell({ runnersPerRegion: 1 }, async (cell) => await race(cell, scale))
+  run: async (scale) => await withCell({ runnersPerRegion: 1 }, async (cell) => await runEditRace(cell, scale))
 }
 
 export const CONFIG_PROOFS: readonly IProof[] = [profiles]
--- a/test/prove/FailoverProofs.ts
+++ b/test/prove/FailoverProofs.ts
@@ -1,10 +1,10 @@
 /**
- * Proofs on failover: service resumes after a kill, and cut links lose nothing.
+ * Proofs about failover: service resumes after a scheduler was killed, and cut links cause no lost or repeated requests.
  */
 
 import { Judge } from './Judge.js'
 import { DEFAULT_LOAD, Load } from './Load.js'
-import { NON_IDEMPOTENT, setRunners, sleep, verdict, withCell } from './Harness.js'
+import { NON_IDEMPOTENT, setRunners, sleep, proofResult, withCell } from './Harness.js'
 
 import type { Cell, ICellProcess } from '../support/Cell.js'
 import type { Direction } from '../support/TcpForwarder.js'
@@ -12,7 +12,7 @@
 
 const RESUME_LIMIT_MS = 5000
 const AFTER_KILL_MS = 8000
-/** What was sent to a runner before the kill has arrived by then. */
+/** Requests that were sent to a runner before the kill have arrived after this time, in ms. */
 const IN_TRANSIT_MS = 100
 
 interface IKill {
@@ -20,7 +20,7 @@
   readonly hostIds: readonly string[]
 }
 
-/** Hosts of the racks that a scheduler owns by the store's records. */
+/** The ids of the hosts in the racks that a scheduler owns, by the records in the store. */
 async function hostsOf (cell: Cell, scheduler: ICellProcess): Promise<readonly string[]> {
   const { records } = await cell.dump<{ readonly records: ReadonlyArray<{ readonly key: string, readonly value: string }> }>(cell.storeUrl)
   const owned = new Set(records.filter(({ key, value }) => key.startsWith('shards/runners/') &&
@@ -43,19 +43,19 @@
   return kills
 }
 
-function checkResumed (judge: Judge, kills: readonly IKill[]): number {
+function checkResumed (checker: Judge, kills: readonly IKill[]): number {
   const tookMs = kills.flatMap(({ at, hostIds }) => hostIds.map((hostId) => {
-    const later = judge.starts.filter((start) => start.hostId === hostId && start.startedAt > at + IN_TRANSIT_MS)
+    const later = checker.starts.filter((start) => start.hostId === hostId && start.startedAt > at + IN_TRANSIT_MS)
     const first = Math.min(...later.map((start) => start.startedAt))
-    if (first - at > RESUME_LIMIT_MS) judge.add(`${hostId} got its next work ${first - at} ms after its scheduler was killed`)
+    if (first - at > RESUME_LIMIT_MS) checker.addViolation(`${hostId} got its next request ${first - at} ms after its scheduler was killed`)
     return first - at
   }))
   return Math.max(...tookMs)
 }
 
 /**
- * A scheduler is killed while callers send. Its racks stand idle until another scheduler has taken them over, and callers
- * of a region whose racks are all idle are refused for that long.
+ * A scheduler is killed while callers send requests. Its racks are idle until another scheduler has taken them over, and callers
+ * in a region whose racks are all idle are refused until then.
  */
 const takeover: IProof = {
   name: 'takeover',
@@ -68,23 +68,23 @@
     await load.start()
     const kills = await killInTurn(cell, 2 * scale)
     const open = await load.finish()
-    const judge = await Judge.collect(cell, load.records)
-    const worstMs = checkResumed(judge, kills)
-    judge.checkCapacity().checkNotRun().checkAtMostOnce(NON_IDEMPOTENT).checkWhole().checkEnded(open, () => false)
-    const result = verdict(judge, kills.length)
+    const checker = await Judge.collect(cell, load.records)
+    const worstMs = checkResumed(checker, kills)
+    checker.checkCapacity().checkNotRun().checkAtMostOnce(NON_IDEMPOTENT).checkWholeAnswers().checkEnded(open, () => false)
+    const result = proofResult(checker, kills.length)
     return { ...result, notes: { ...result.notes, worstMs } }
   })
 }
 
 /**
- * A switch fails so that packets pass in one direction only, or in none, while every process lives and the store is
- * reached. Gateways and schedulers see silence from each other; callers see requests that hang, or run twice when
- * somebody takes silence for death.
+ * A network switch fails so that packets pass in one direction only, or in none, while every process lives and reaches the store.
+ * Gateways and schedulers receive nothing from each other. The guarded failures are requests that hang, and requests that run twice
+ * because a process takes the silence of another for its death.
  */
 const cutLinks: IProof = {
   name: 'cut-links',
   isTimed: false,
-  property: 'nothing hangs, runs twice or is called "not run" when it ran',
+  property: 'no request hangs, runs twice or is answered "not run" although it ran',
   failure: 'links between processes cut in one direction, the other, and both',
   run: async (scale) => await withCell({ schedulersPerRegion: 2, runnersPerRegion: 4, hostsPerRack: 2, forwardsPeers: true }, async (cell) => {
     await setRunners(cell, { services: { '*': { runMs: 60 } } })
@@ -100,9 +100,9 @@
       await sleep(2000)
     }
     const open = await load.finish()
-    const judge = await Judge.collect(cell, load.records)
-    judge.checkCapacity().checkNotRun().checkAtMostOnce(NON_IDEMPOTENT).checkWhole().checkEnded(open, () => false)
-    return verdict(judge, judge.starts.length)
+    const checker = await Judge.collect(cell, load.records)
+    checker.checkCapacity().checkNotRun().checkAtMostOnce(NON_IDEMPOTENT).checkWholeAnswers().checkEnded(open, () => false)
+    return proofResult(checker, checker.starts.length)
   })
 }
 
--- a/test/prove/Harness.ts
+++ b/test/prove/Harness.ts
@@ -1,5 +1,5 @@
 /**
- * What the proofs share: a configured cell, control of its runners, and the form of a verdict.
+ * Helpers that the proofs share: they start a configured cell, control its runners and build the result of a proof.
  */
 
 import { Cell } from '../support/Cell.js'
@@ -7,7 +7,7 @@
 
 import type { ICellOptions } from '../support/Cell.js'
 import type { Judge } from './Judge.js'
-import type { IVerdict, OnCell } from './Types.js'
+import type { IProofResult, ProofBody } from './Types.js'
 
 export const NON_IDEMPOTENT = ['pivot-start', 'neighbour-broadcast'] as const
 
@@ -15,8 +15,11 @@
   await new Promise((resolve) => setTimeout(resolve, durationMs))
 }
 
-/** A configured cell with requests served in each region and shards spread. */
-export async function withCell (options: Partial<ICellOptions>, body: OnCell): Promise<IVerdict> {
+/**
+ * Runs `body` on a cell that is configured, serves requests in each region, and has its racks owned by schedulers of their
+ * regions. The cell is always ended afterwards.
+ */
+export async function withCell (options: Partial<ICellOptions>, body: ProofBody): Promise<IProofResult> {
   const cell = await Cell.start({ workersPerRegion: 0, ...options })
   try {
     await configureExamples(cell.storeUrl)
@@ -32,6 +35,6 @@
   await Promise.all(cell.hosts.filter((host) => host.kind === 'runner').map(async (host) => { await cell.control(host.url, control) }))
 }
 
-export function verdict (judge: Judge, checked: number): IVerdict {
-  return { checked, violations: judge.violations, notes: { ...judge.outcomes(), noUpstreamSeconds: judge.timesOf('noUpstream') } }
+export function proofResult (checker: Judge, checked: number): IProofResult {
+  return { checked, violations: checker.violations, notes: { ...checker.outcomes(), noUpstreamSeconds: checker.secondsByGateway('noUpstream') } }
 }
--- a/test/prove/JobProofs.ts
+++ b/test/prove/JobProofs.ts
@@ -1,5 +1,5 @@
 /**
- * Proofs on jobs: a task is never in two places, all-at-once jobs start whole, accepted jobs are not lost.
+ * Proofs about jobs: a task never runs in two places, the tasks of an all-at-once job start together, and accepted jobs are not lost.
  */
 
 import { SeededRandom } from '../../src/common/Random.js'
@@ -8,13 +8,16 @@
 
 import type { IJobSpec } from '../../src/common/protocol/Types.js'
 import type { Cell } from '../support/Cell.js'
-import type { IProof, IVerdict } from './Types.js'
+import type { IProof, IProofResult } from './Types.js'
 
 const MIB = 2 ** 20
 const JOBS_PER_SECOND = 8
 const FINISH_LIMIT_MS = 60_000
-/** A start is a message to each host; a part that fails is noticed by the next sync, and the others are stopped. */
-const PARTIAL_LIMIT_MS = 4000
+/**
+ * The time that an all-at-once job may run in part, in ms. A start takes a message to each host; if one of them fails, the next
+ * sync reveals it and the other tasks are stopped.
+ */
+const MAX_PARTIAL_RUN_MS = 4000
 
 interface IAttemptRecord {
   readonly jobId: string
@@ -45,8 +48,8 @@
   return { jobId: `job-${number}`, service: isGang ? 'match-model' : 'season-budget', caller: `planner-${number % 3}`, longRunning: false, tasks }
 }
 
-/** Submits jobs through any gateway for as long as `harm` takes; gives those that were accepted. */
-export async function submitDuring (cell: Cell, harm: () => Promise<void>): Promise<readonly IJobSpec[]> {
+/** Submits jobs through the gateways in turn until `injectFaults` has finished; returns the accepted jobs. */
+export async function submitDuring (cell: Cell, injectFaults: () => Promise<void>): Promise<readonly IJobSpec[]> {
   const random = new SeededRandom(15)
   const accepted: IJobSpec[] = []
   const clients = cell.gateways().map((gateway) => new CallerClient(gateway.url, 16))
@@ -57,25 +60,25 @@
     const client = clients[number % clients.length]
     client?.submitJob(job).then((reply) => { if (reply.status === 202) accepted.push(job) }, () => {})
   }, 1000 / JOBS_PER_SECOND)
-  await harm()
+  await injectFaults()
   clearInterval(timer)
   await sleep(1000)
   return accepted
 }
 
-/** Asks until every job has ended; gives those that have not succeeded in time. */
-async function unfinished (cell: Cell, jobs: readonly IJobSpec[]): Promise<readonly string[]> {
+/** Waits until every job has succeeded; returns a line for each that has not succeeded in time. */
+async function findUnfinishedJobs (cell: Cell, jobs: readonly IJobSpec[]): Promise<readonly string[]> {
   const client = new CallerClient(cell.gateways()[0]?.url ?? '', 8)
   const untilMs = performance.now() + FINISH_LIMIT_MS
-  const left: string[] = []
+  const unfinished: string[] = []
   for (const { jobId } of jobs) {
     const status = await client.untilJob(jobId, ({ state }) => state === 'succeeded', Math.max(0, untilMs - performance.now()))
-    if (status?.state !== 'succeeded') left.push(`${jobId} is ${status?.state ?? 'not known'}${status?.reason === undefined ? '' : ` (${status.reason})`}`)
+    if (status?.state !== 'succeeded') unfinished.push(`${jobId} is ${status?.state ?? 'unknown'}${status?.reason === undefined ? '' : ` (${status.reason})`}`)
   }
-  return left
+  return unfinished
 }
 
-function overlaps (attempts: readonly IPlacedAttempt[]): readonly string[] {
+function findOverlaps (attempts: readonly IPlacedAttempt[]): readonly string[] {
   const sorted = [...attempts].sort((a, b) => a.startedAt - b.startedAt)
   const found: string[] = []
   sorted.forEach((attempt, index) => {
@@ -86,26 +89,26 @@
   return found
 }
 
-/** How long a job ran with some, but not all of its tasks, at a stretch, before its first task succeeded. */
+/** The longest time without a break for which only some of a job's tasks ran, before its first task succeeded. */
 function longestPartialMs (attempts: readonly IPlacedAttempt[], taskCount: number): number {
   const doneAt = Math.min(...attempts.filter((each) => each.end === 'succeeded').map((each) => each.endedAt ?? Infinity))
   const changes = attempts.flatMap((each) => [{ at: each.startedAt, by: 1 }, ...(each.endedAt === undefined ? [] : [{ at: each.endedAt, by: -1 }])])
   let running = 0
-  let since: number | undefined
+  let partialSince: number | undefined
   let longestMs = 0
   for (const { at, by } of changes.sort((a, b) => a.at - b.at || a.by - b.by)) {
     if (at >= doneAt) break
-    if (since !== undefined) longestMs = Math.max(longestMs, at - since)
+    if (partialSince !== undefined) longestMs = Math.max(longestMs, at - partialSince)
     running += by
-    since = running > 0 && running < taskCount ? since ?? at : undefined
+    partialSince = running > 0 && running < taskCount ? partialSince ?? at : undefined
   }
   return longestMs
 }
 
-async function judgeJobs (cell: Cell, jobs: readonly IJobSpec[]): Promise<IVerdict> {
-  const left = await unfinished(cell, jobs)
+async function checkJobs (cell: Cell, jobs: readonly IJobSpec[]): Promise<IProofResult> {
+  const unfinished = await findUnfinishedJobs(cell, jobs)
   const workers = await Promise.all(cell.hosts.filter((host) => host.kind === 'worker').map(async (host) => await cell.dump<IWorkerRecords>(host.url)))
-  const violations = [...left]
+  const violations = [...unfinished]
   const byTask = new Map<string, IPlacedAttempt[]>()
   const byJob = new Map<string, IPlacedAttempt[]>()
   for (const { hostId, records, overCapacity, doubleRuns } of workers) {
@@ -117,10 +120,10 @@
       byJob.set(record.jobId, [...byJob.get(record.jobId) ?? [], placed])
     }
   }
-  for (const attempts of byTask.values()) violations.push(...overlaps(attempts))
+  for (const attempts of byTask.values()) violations.push(...findOverlaps(attempts))
   for (const job of jobs.filter((each) => each.service === 'match-model')) {
     const partialMs = longestPartialMs(byJob.get(job.jobId) ?? [], job.tasks.length)
-    if (partialMs > PARTIAL_LIMIT_MS) violations.push(`${job.jobId} ran in part for ${partialMs} ms`)
+    if (partialMs > MAX_PARTIAL_RUN_MS) violations.push(`${job.jobId} ran in part for ${partialMs} ms`)
   }
   const attempts = [...byTask.values()].flat()
   return {
@@ -131,11 +134,11 @@
 }
 
 /**
- * The owner of a rack is paused past its lease while its tasks run, another takes the rack over, and the first wakes.
- * Then a scheduler is killed, a worker dies with its tasks, and the store is down for a while. An operator sees a task
- * on two hosts, or a job that was accepted and never ran.
+ * Pauses the owner of a rack beyond its lease while its tasks run, so that another scheduler takes the rack over, and resumes it.
+ * Then a scheduler is killed, a worker dies with its tasks, and the store is down for a while. The guarded failures are a task
+ * that runs on two hosts, and an accepted job that never runs.
  */
-async function harmJobs (cell: Cell, rounds: number): Promise<void> {
+async function injectJobFaults (cell: Cell, rounds: number): Promise<void> {
   for (let round = 0; round < rounds; round++) {
     const [paused, killed] = [cell.schedulers()[round % 6], cell.schedulers()[(round + 3) % 6]]
     const worker = cell.hosts.filter((host) => host.kind === 'worker')[round]
@@ -162,8 +165,8 @@
   property: 'attempts of a task never overlap; accepted jobs end; all-at-once jobs start whole',
   failure: 'a scheduler paused past its lease and woken, one killed, a worker dead with its tasks, an outage of the store',
   run: async (scale) => await withCell({ schedulersPerRegion: 2, runnersPerRegion: 1, workersPerRegion: 4, hostsPerRack: 2 }, async (cell) => {
-    const jobs = await submitDuring(cell, async () => { await harmJobs(cell, scale) })
-    return await judgeJobs(cell, jobs)
+    const jobs = await submitDuring(cell, async () => { await injectJobFaults(cell, scale) })
+    return await checkJobs(cell, jobs)
   })
 }
 
--- a/test/prove/Load.ts
+++ b/test/prove/Load.ts
@@ -1,6 +1,6 @@
 /**
- * Callers behind a balancer: sends a mix of requests from a seed to gateways whose health check passes, and keeps what
- * each caller saw.
+ * Generates the load of callers behind a load balancer: sends a mix of requests, drawn from a seed, to the gateways whose health
+ * check passes, and records the answer to each.
  */
 
 import { randomBytes } from 'node:crypto'
@@ -13,10 +13,10 @@
 import type { ICall } from '../support/CallerClient.js'
 import type { ICallRecord } from './Types.js'
 
-const HEALTH_MS = 100
+const HEALTH_INTERVAL_MS = 100
 const TICK_MS = 5
 const MAX_BODY_BYTES = 4096
-/** A caller's deadline is at most a few seconds, so an answer later than this never comes. */
+/** Deadlines are at most a few seconds, so a request without an answer after this time counts as never ended. */
 const HANG_LIMIT_MS = 30_000
 
 export interface ILoadOptions {
@@ -24,7 +24,7 @@
   readonly services: readonly string[]
   readonly deadlineMs: number
   readonly seed: number
-  /** The share of requests that are sent again with the same id, through another gateway, at a random time. */
+  /** The share of requests that are sent again with the same id at a random time, through a random gateway. */
   readonly repeatShare: number
 }
 
@@ -40,12 +40,12 @@
   public readonly records: ICallRecord[] = []
   private readonly _clients = new Map<string, CallerClient>()
   private readonly _random: SeededRandom
-  private readonly _open = new Set<Promise<void>>()
+  private readonly _openCalls = new Set<Promise<void>>()
   private _healthy: readonly ICellProcess[] = []
-  private _health: NodeJS.Timeout | undefined
-  private _ticker: NodeJS.Timeout | undefined
-  private _number = 0
-  private _stopped = false
+  private _healthTimer: NodeJS.Timeout | undefined
+  private _sendTimer: NodeJS.Timeout | undefined
+  private _requestCount = 0
+  private _isStopped = false
 
   public constructor (private readonly _cell: Cell, private readonly _options: ILoadOptions) {
     this._random = new SeededRandom(_options.seed)
@@ -53,65 +53,65 @@
 
   public async start (): Promise<void> {
     await this._checkHealth()
-    this._health = setInterval(() => { this._checkHealth() }, HEALTH_MS)
+    this._healthTimer = setInterval(() => { this._checkHealth() }, HEALTH_INTERVAL_MS)
     const startedAtMs = performance.now()
-    this._ticker = setInterval(() => {
+    this._sendTimer = setInterval(() => {
       const due = (performance.now() - startedAtMs) / 1000 * this._options.perSecond
-      while (this._number < due) this._next()
+      while (this._requestCount < due) this._sendNext()
     }, TICK_MS)
   }
 
-  /** Stops sending, waits for every open request, and says which never ended. */
+  /** Stops sending, waits for the open requests, and returns those that never ended. */
   public async finish (): Promise<readonly ICallRecord[]> {
-    clearInterval(this._ticker)
-    this._stopped = true
+    clearInterval(this._sendTimer)
+    this._isStopped = true
     const limit = new Promise<void>((resolve) => setTimeout(resolve, HANG_LIMIT_MS).unref())
     await Promise.race([limit, this._allEnded()])
-    clearInterval(this._health)
+    clearInterval(this._healthTimer)
     for (const client of this._clients.values()) client.destroy()
     return this.records.filter((record) => record.endedAtMs === undefined)
   }
 
   private async _allEnded (): Promise<void> {
-    while (this._open.size > 0) await Promise.all(this._open)
+    while (this._openCalls.size > 0) await Promise.all(this._openCalls)
   }
 
-  private _next (): void {
-    this._number += 1
-    const service = this._pick(this._options.services)
+  private _sendNext (): void {
+    this._requestCount += 1
+    const service = this._pickRandom(this._options.services)
     const call: ICall = {
       service,
-      caller: `caller-${this._number % 7}`,
-      requestId: `r-${this._options.seed}-${this._number}`,
+      caller: `caller-${this._requestCount % 7}`,
+      requestId: `r-${this._options.seed}-${this._requestCount}`,
       deadlineMs: this._options.deadlineMs,
-      contentType: `application/x-${this._number}`,
+      contentType: `application/x-${this._requestCount}`,
       body: randomBytes(1 + Math.floor(this._random.next() * MAX_BODY_BYTES))
     }
     this._send(call)
     if (this._random.next() < this._options.repeatShare) {
-      setTimeout(() => { if (!this._stopped) this._send(call) }, this._random.next() * this._options.deadlineMs)
+      setTimeout(() => { if (!this._isStopped) this._send(call) }, this._random.next() * this._options.deadlineMs)
     }
   }
 
   private _send (call: ICall): void {
-    const gateway = this._pick(this._healthy)
+    const gateway = this._pickRandom(this._healthy)
     if (gateway === undefined) return
     const record: ICallRecord = { call, gateway: gateway.processId, sentAtMs: performance.now() }
     this.records.push(record)
-    const ended = this._client(gateway).send(call)
+    const ended = this._clientOf(gateway).send(call)
       .then((reply) => { record.reply = reply }, (error: Error) => { record.broken = error.message })
       .then(() => {
         record.endedAtMs = performance.now()
-        this._open.delete(ended)
+        this._openCalls.delete(ended)
       })
-    this._open.add(ended)
+    this._openCalls.add(ended)
   }
 
-  private _pick<T> (items: readonly T[]): T {
+  private _pickRandom<T> (items: readonly T[]): T {
     return items[Math.floor(this._random.next() * items.length)] as T
   }
 
-  private _client (gateway: ICellProcess): CallerClient {
+  private _clientOf (gateway: ICellProcess): CallerClient {
     const known = this._clients.get(gateway.url)
     if (known !== undefined) return known
     const client = new CallerClient(gateway.url, 256)
--- a/test/prove/Types.ts
+++ b/test/prove/Types.ts
@@ -1,23 +1,24 @@
 /**
- * Proofs between processes: each brings one failure about and is judged by what callers and stand-ins saw.
+ * The types of the proofs. A proof runs a cell of real processes, causes one kind of failure, and checks a property by what callers
+ * and stand-ins recorded.
  */
 
 import type { Cell } from '../support/Cell.js'
 import type { ICall, IReply } from '../support/CallerClient.js'
 
-/** One request as its caller saw it. */
+/** One request and its answer, as its caller recorded them. */
 export interface ICallRecord {
   readonly call: ICall
   readonly gateway: string
   readonly sentAtMs: number
   endedAtMs?: number
-  /** Absent while it is open and when the connection broke. */
+  /** Absent while the request is open and if the connection broke. */
   reply?: IReply
-  /** The connection broke before the whole answer. */
+  /** The error, if the connection broke before the whole answer had arrived. */
   broken?: string
 }
 
-/** A start as a runner recorded it. */
+/** One start of a request, as the runner recorded it. */
 export interface IRunnerRecord {
   readonly hostId: string
   readonly attemptId: string
@@ -28,11 +29,12 @@
   readonly endedAt?: number
 }
 
-export interface IVerdict {
+export interface IProofResult {
+  /** The number of observations that were checked; a proof with none counts as failed. */
   readonly checked: number
-  /** What broke the property, one line each; empty when it holds. */
+  /** The violations of the property, one line each; empty if it holds. */
   readonly violations: readonly string[]
-  /** Further figures. */
+  /** Further figures for the report. */
   readonly notes?: Readonly<Record<string, unknown>>
 }
 
@@ -40,11 +42,11 @@
   readonly name: string
   readonly property: string
   readonly failure: string
-  /** Whether its verdict depends on how long something took; such a proof is left out of CI, whose machine may be busy. */
+  /** Whether the result depends on how long something took; CI leaves such a proof out because its machine may be busy. */
   readonly isTimed: boolean
-  /** `scale` is 1 in CI and larger in long runs. */
-  run (scale: number): Promise<IVerdict>
+  /** Runs the proof; `scale` is 1 in CI and larger in long runs. */
+  run (scale: number): Promise<IProofResult>
 }
 
-/** Builds a cell, runs the proof on it and always ends what was started. */
-export type OnCell = (cell: Cell) => Promise<IVerdict>
+/** Runs a proof on a cell that is ready. */
+export type ProofBody = (cell: Cell) => Promise<IProofResult>
--- a/test/prove/run.ts
+++ b/test/prove/run.ts
@@ -1,6 +1,6 @@
 /**
  * `npm run prove [-- NAME …] [--long] [--untimed]`: runs the proofs one after the other and prints a JSON line for each.
- * `--untimed` leaves out those that judge how long something took.
+ * `--untimed` leaves out the proofs whose result depends on how long something took.
  */
 
 import { parseArgs } from 'node:util'
@@ -21,7 +21,7 @@
 const wanted = PROOFS.filter((proof) => (positionals.length === 0 || positionals.includes(proof.name)) && !(values.untimed && proof.isTimed))
 const unknown = positionals.filter((name) => !PROOFS.some((proof) => proof.name === name))
 if (unknown.length > 0) {
-  process.stderr.write(`no proof named ${unknown.join(', ')}; there are ${PROOFS.map((proof) => proof.name).join(', ')}\n`)
+  process.stderr.write(`no proof named ${unknown.join(', ')}; the proofs are ${PROOFS.map((proof) => proof.name).join(', ')}\n`)
   process.exit(2)
 }
 for (const proof of wanted) {
--- a/test/soak/ConfigProbes.ts
+++ b/test/soak/ConfigProbes.ts
@@ -30,7 +30,7 @@
   public start (): void {
     this._timer = setInterval(() => {
       for (const controller of this._controllers) {
-        this._probe(controller).catch((error: unknown) => { this._checker.violations.push(`configuration probe: ${String(error)}`) })
+        this._probe(controller).catch((error: unknown) => { this._checker.violations.push(`probe: ${String(error)}`) })
       }
     }, PROBE_INTERVAL_MS)
   }
