--- a/test/prove/Judge.ts
+++ b/test/prove/Judge.ts
@@ -116,7 +116,7 @@
     for (const { call, reply } of this._records) {
       if (reply?.outcome !== 'done' || reply.status !== 200) continue
       if (!reply.body.equals(call.body as Buffer) || reply.contentType !== call.contentType) {
-        this.addViolation(`${call.requestId} got ${reply.body.length} bytes of ${reply.contentType} instead of ${call.body?.length} bytes of ${call.contentType}`)
+        this.addViolation(`${call.requestId} got ${reply.body.length} bytes of ${reply.contentType} instead of ${call.body?.length} of ${call.contentType}`)
       }
     }
     return this
--- a/test/prove/LifecycleProofs.ts
+++ b/test/prove/LifecycleProofs.ts
@@ -102,7 +102,7 @@
     const starts = (await workersOf(cell)).flatMap(({ host: { hostId }, records }) => records.map(({ startedAt }) => ({ hostId, startedAt })))
     const late = starts.filter((start) => departures.some(({ hostId, at }) => hostId === start.hostId && start.startedAt > at + LEAVING_LIMIT_MS))
     const before = starts.filter((start) => departures.some(({ hostId, at }) => hostId === start.hostId && start.startedAt < at))
-    const violations = late.map(({ hostId, startedAt }) => `a task was started on ${hostId} at ${startedAt}`)
+    const violations = late.map(({ hostId, startedAt }) => `${hostId} started a new task at ${startedAt}`)
     return { checked: before.length, violations: violations.slice(0, 10), notes: { jobs: jobs.length, starts: starts.length } }
   })
 }
--- a/test/standins/HostListStandIn.ts
+++ b/test/standins/HostListStandIn.ts
@@ -1,5 +1,5 @@
 /**
- * Stands in for the platform's list of live and leaving hosts, which tells changes only after a lag.
+ * Stands in for the platform's list of live and leaving hosts. Changes become visible only after a lag.
  */
 
 import { sendJson } from './StandInServer.js'
@@ -14,25 +14,25 @@
   readonly remove?: readonly string[]
   readonly state?: Readonly<Record<string, IHostRecord['state']>>
   readonly lagMs?: number
-  /** Answers nothing but 503 while set. */
+  /** While set, every call is answered 503. */
   readonly down?: boolean
 }
 
 export class HostListStandIn implements IStandIn {
   private _versions: IVersion[] = [{ visibleAtMs: 0, hosts: new Map() }]
-  private _down = false
-  private _reads = 0
+  private _isDown = false
+  private _readCount = 0
 
   public constructor (private _lagMs: number) {}
 
   public control (settings: Readonly<Record<string, unknown>>): void {
-    const ask = settings as IHostListControl
-    this._lagMs = ask.lagMs ?? this._lagMs
-    this._down = ask.down ?? this._down
+    const request = settings as IHostListControl
+    this._lagMs = request.lagMs ?? this._lagMs
+    this._isDown = request.down ?? this._isDown
     const hosts = new Map(this._versions.at(-1)?.hosts)
-    for (const host of ask.put ?? []) hosts.set(host.hostId, host)
-    for (const hostId of ask.remove ?? []) hosts.delete(hostId)
-    for (const [hostId, state] of Object.entries(ask.state ?? {})) {
+    for (const host of request.put ?? []) hosts.set(host.hostId, host)
+    for (const hostId of request.remove ?? []) hosts.delete(hostId)
+    for (const [hostId, state] of Object.entries(request.state ?? {})) {
       const host = hosts.get(hostId)
       if (host !== undefined) hosts.set(hostId, { ...host, state })
     }
@@ -40,17 +40,17 @@
   }
 
   public dump (): unknown {
-    return { hosts: [...(this._versions.at(-1)?.hosts.values() ?? [])], visible: this._visible(), lagMs: this._lagMs, reads: this._reads }
+    return { hosts: [...(this._versions.at(-1)?.hosts.values() ?? [])], visible: this._visibleHosts(), lagMs: this._lagMs, reads: this._readCount }
   }
 
   public handle (exchange: IExchange): void {
-    this._reads += 1
-    if (this._down) sendJson(exchange, 503, { error: 'down' })
-    else if (exchange.path === '/hosts') sendJson(exchange, 200, { hosts: this._visible() })
+    this._readCount += 1
+    if (this._isDown) sendJson(exchange, 503, { error: 'down' })
+    else if (exchange.path === '/hosts') sendJson(exchange, 200, { hosts: this._visibleHosts() })
     else sendJson(exchange, 404, { error: 'no such call' })
   }
 
-  private _visible (): readonly IHostRecord[] {
+  private _visibleHosts (): readonly IHostRecord[] {
     const past = this._versions.filter((version) => version.visibleAtMs <= performance.now())
     this._versions = [...past.slice(-1), ...this._versions.slice(past.length)]
     return [...(this._versions[0]?.hosts.values() ?? [])]
--- a/test/standins/RunnerStandIn.ts
+++ b/test/standins/RunnerStandIn.ts
@@ -1,6 +1,6 @@
 /**
- * Stands in for a runner: runs calls on its slots, refuses older epochs, records what it was asked, and fails, cuts
- * or hangs on command.
+ * Stands in for a runner: runs calls in its slots, refuses older epochs and records the calls. By its switches it fails calls,
+ * cuts answers short, or doesn't answer.
  */
 
 import { createHash } from 'node:crypto'
@@ -15,20 +15,20 @@
   readonly slots: number
   readonly maxConnections: number
   readonly seed: number
-  /** Starts and ends kept in the record; counts go on beyond it. */
+  /** The most calls that are recorded; later calls are only counted. */
   readonly maxRecords: number
 }
 
-/** How a service behaves; `POST /control` with `{ "services": { "name": … } }`, `*` for all others. */
+/** How the calls of a service behave; set by `POST /control` with `{ "services": { "name": … } }`, where `*` means all others. */
 export interface IServiceBehaviour {
   readonly runMs?: number
-  /** The share that is answered 500 after running. */
+  /** The share of calls that are answered 500 after they ran. */
   readonly failRate?: number
-  /** The share whose answer ends before its declared length. */
+  /** The share of calls whose answer ends before its declared length. */
   readonly cutRate?: number
-  /** The share that runs and is never answered. */
+  /** The share of calls that run and are never answered. */
   readonly hangRate?: number
-  /** Answers with this many bytes in place of the echo. */
+  /** Calls are answered with this many bytes instead of the echo of their body. */
   readonly answerBytes?: number
 }
 
@@ -81,7 +81,7 @@
     }
   }
 
-  public connectionsChanged (count: number): void {
+  public onConnectionCountChange (count: number): void {
     if (count > this._connections && count > this._options.maxConnections) this._count.overConnections += 1
     this._connections = count
     this._count.mostConnections = Math.max(this._count.mostConnections, count)
@@ -103,12 +103,12 @@
   }
 
   private _fence (exchange: IExchange): void {
-    const ask = readJson<{ shardId: string, epoch: number }>(exchange)
-    if (this._raise(ask.shardId, ask.epoch)) sendJson(exchange, 200, this._status())
-    else this._refuseFenced(exchange, ask.shardId)
+    const call = readJson<{ shardId: string, epoch: number }>(exchange)
+    if (this._acceptEpoch(call.shardId, call.epoch)) sendJson(exchange, 200, this._status())
+    else this._refuseFenced(exchange, call.shardId)
   }
 
-  private _raise (shardId: string, epoch: number): boolean {
+  private _acceptEpoch (shardId: string, epoch: number): boolean {
     const current = this._epochs.get(shardId) ?? 0
     if (epoch < current) return false
     this._epochs.set(shardId, epoch)
@@ -123,7 +123,7 @@
   private _run (exchange: IExchange): void {
     const header = (name: string): string => String(exchange.headers[name] ?? '')
     const shardId = header('x-shard-id')
-    if (!this._raise(shardId, Number(header('x-epoch')))) return this._refuseFenced(exchange, shardId)
+    if (!this._acceptEpoch(shardId, Number(header('x-epoch')))) return this._refuseFenced(exchange, shardId)
     if (this._switches.leaving) {
       this._count.refusedLeaving += 1
       return sendJson(exchange, 503, {}, { 'x-refused': 'leaving' })
@@ -160,13 +160,13 @@
     this._running.delete(record.attemptId)
     this._count.ended += 1
     record.endedAt = Date.now()
-    record.end = this._end(behaviour)
+    record.end = this._drawEnd(behaviour)
     if (record.end === 'failed') sendJson(exchange, 500, { error: 'the service failed' })
     else if (record.end === 'answered') this._answer(exchange, behaviour)
-    else if (record.end === 'cut') this._cut(exchange)
+    else if (record.end === 'cut') this._cutAnswer(exchange)
   }
 
-  private _end (behaviour: IServiceBehaviour): string {
+  private _drawEnd (behaviour: IServiceBehaviour): string {
     if (this._switches.failEverything || this._random.next() < (behaviour.failRate ?? 0)) return 'failed'
     if (this._random.next() < (behaviour.cutRate ?? 0)) return 'cut'
     if (this._random.next() < (behaviour.hangRate ?? 0)) return 'hung'
@@ -180,7 +180,7 @@
     exchange.response.end(body)
   }
 
-  private _cut (exchange: IExchange): void {
+  private _cutAnswer (exchange: IExchange): void {
     exchange.response.writeHead(200, { 'content-length': exchange.body.length + 1 })
     exchange.response.write(exchange.body, () => { drop(exchange) })
     exchange.response.flushHeaders()
--- a/test/standins/StandInServer.ts
+++ b/test/standins/StandInServer.ts
@@ -1,6 +1,6 @@
 /**
- * The loopback HTTP server under every stand-in: reads whole bodies, serves `/dump` and `/control`, and can refuse
- * or cut connections on command.
+ * The loopback HTTP server of every stand-in. It reads whole bodies, serves `/dump` and `/control`, and can refuse new connections
+ * or cut open ones.
  */
 
 import { createServer } from 'node:http'
@@ -8,6 +8,7 @@
 import type { IncomingHttpHeaders, IncomingMessage, ServerResponse } from 'node:http'
 import type { AddressInfo, Socket } from 'node:net'
 
+/** A request that was read whole, and the response to it. */
 export interface IExchange {
   readonly method: string
   readonly path: string
@@ -17,15 +18,15 @@
 }
 
 export interface IStandIn {
-  /** Answers one call that is neither `/dump` nor `/control`. */
+  /** Answers a request other than `/dump` and `/control`. */
   handle (exchange: IExchange): void
-  /** Takes the switches of `POST /control`. */
+  /** Applies the switches of `POST /control`. */
   control (settings: Readonly<Record<string, unknown>>): void
-  /** The whole record, as JSON. */
+  /** The state and the records of the stand-in, to be encoded as JSON. */
   dump (): unknown
-  /** Hears the number of open connections. */
-  connectionsChanged? (count: number): void
-  /** Stops timers. */
+  /** Is called with the number of open connections whenever it changes. */
+  onConnectionCountChange? (count: number): void
+  /** Stops the timers of the stand-in. */
   close? (): void
 }
 
@@ -37,14 +38,14 @@
   private _port = 0
 
   public constructor (private readonly _standIn: IStandIn) {
-    this._server.on('connection', (socket) => { this._track(socket) })
+    this._server.on('connection', (socket) => { this._trackSocket(socket) })
   }
 
   public get url (): string {
     return `http://${LOOPBACK}:${this._port}`
   }
 
-  /** Listens on `port`, 0 for a free one; after `refuse`, on the same one as before. */
+  /** Listens on `port`; 0 means a free one. Without an argument it listens on the same port as before, for use after `refuse`. */
   public listen (port = this._port): Promise<string> {
     return new Promise((resolve, reject) => {
       this._server.once('error', reject)
@@ -56,13 +57,13 @@
     })
   }
 
-  /** Closes the listener and all connections: from now on connecting is refused. */
+  /** Closes the listener and all connections, so that new connections are refused. */
   public refuse (): void {
     this._server.close()
     this.cut()
   }
 
-  /** Cuts all connections; new ones are taken. */
+  /** Closes all open connections; new connections are still accepted. */
   public cut (): void {
     for (const socket of this._sockets) socket.destroy()
   }
@@ -72,13 +73,13 @@
     this.refuse()
   }
 
-  private _track (socket: Socket): void {
+  private _trackSocket (socket: Socket): void {
     this._sockets.add(socket)
-    this._standIn.connectionsChanged?.(this._sockets.size)
+    this._standIn.onConnectionCountChange?.(this._sockets.size)
     socket.on('error', () => { socket.destroy() })
     socket.on('close', () => {
       this._sockets.delete(socket)
-      this._standIn.connectionsChanged?.(this._sockets.size)
+      this._standIn.onConnectionCountChange?.(this._sockets.size)
     })
   }
 
@@ -113,7 +114,7 @@
   exchange.response.end(body)
 }
 
-/** Takes the connection away without an answer. */
+/** Closes the connection of a request without an answer. */
 export function drop (exchange: IExchange): void {
   exchange.response.socket?.destroy()
 }
--- a/test/standins/hostList.ts
+++ b/test/standins/hostList.ts
@@ -1,11 +1,11 @@
 /**
- * The host list as a program: `--port`, `--lag-ms`.
+ * Runs the stand-in of the host list as a program, with the options `--port` and `--lag-ms`.
  */
 
 import { parseArgs } from 'node:util'
 
 import { HostListStandIn } from './HostListStandIn.js'
-import { runProgram } from './support.js'
+import { runStandIns } from './support.js'
 
 const { values } = parseArgs({ options: { port: { type: 'string', default: '0' }, 'lag-ms': { type: 'string', default: '0' } } })
-await runProgram([new HostListStandIn(Number(values['lag-ms']))], Number(values.port))
+await runStandIns([new HostListStandIn(Number(values['lag-ms']))], Number(values.port))
--- a/test/standins/inProcess.ts
+++ b/test/standins/inProcess.ts
@@ -1,5 +1,5 @@
 /**
- * Stand-ins inside the test's own process, for tests of one client.
+ * Starts stand-ins in the process of the test, for the tests of a single client.
  */
 
 import { HostListStandIn } from './HostListStandIn.js'
@@ -12,17 +12,17 @@
 import type { HostKind, IHostRecord } from '../../src/runtime/Types.js'
 import type { IStandIn } from './StandInServer.js'
 
-export interface IStarted<T> { readonly standIn: T, readonly server: StandInServer, readonly url: string }
+export interface IStartedStandIn<T> { readonly standIn: T, readonly server: StandInServer, readonly url: string }
 
-async function start<T extends IStandIn> (t: ExecutionContext, standIn: T): Promise<IStarted<T>> {
+async function startStandIn<T extends IStandIn> (t: ExecutionContext, standIn: T): Promise<IStartedStandIn<T>> {
   const server = new StandInServer(standIn)
   const url = await server.listen(0)
   t.teardown(() => { server.close() })
   return { standIn, server, url }
 }
 
-export async function startStore (t: ExecutionContext): Promise<IStarted<KeyValueStandIn>> {
-  const started = await start(t, new KeyValueStandIn())
+export async function startStore (t: ExecutionContext): Promise<IStartedStandIn<KeyValueStandIn>> {
+  const started = await startStandIn(t, new KeyValueStandIn())
   started.standIn.onOutage = (outage) => {
     if (outage === 'refuse') started.server.refuse()
     else if (outage === 'reset') started.server.cut()
@@ -31,17 +31,17 @@
   return started
 }
 
-export function startHostList (t: ExecutionContext, lagMs: number): Promise<IStarted<HostListStandIn>> {
-  return start(t, new HostListStandIn(lagMs))
+export function startHostList (t: ExecutionContext, lagMs: number): Promise<IStartedStandIn<HostListStandIn>> {
+  return startStandIn(t, new HostListStandIn(lagMs))
 }
 
-export function startRunner (t: ExecutionContext, slots = 8, maxConnections = 60): Promise<IStarted<RunnerStandIn>> {
-  return start(t, new RunnerStandIn({ hostId: 'runner-0', slots, maxConnections, seed: 1, maxRecords: 10_000 }))
+export function startRunner (t: ExecutionContext, slots = 8, maxConnections = 60): Promise<IStartedStandIn<RunnerStandIn>> {
+  return startStandIn(t, new RunnerStandIn({ hostId: 'runner-0', slots, maxConnections, seed: 1, maxRecords: 10_000 }))
 }
 
-export function startWorker (t: ExecutionContext, clockOffsetMs = 0): Promise<IStarted<WorkerStandIn>> {
+export function startWorker (t: ExecutionContext, clockOffsetMs = 0): Promise<IStartedStandIn<WorkerStandIn>> {
   const capacity = { cores: 8, memoryBytes: 2 ** 30, accelerators: 0 }
-  return start(t, new WorkerStandIn({ hostId: 'worker-0', capacity, clockOffsetMs, clockRate: 1 }))
+  return startStandIn(t, new WorkerStandIn({ hostId: 'worker-0', capacity, clockOffsetMs, clockRate: 1 }))
 }
 
 export function hostAt (url: string, kind: HostKind = 'runner', slots = 8): IHostRecord {
--- a/test/standins/runner.ts
+++ b/test/standins/runner.ts
@@ -1,12 +1,12 @@
 /**
- * Runners as a program: `--port`, `--count`, `--host-id` (a prefix), `--slots`, `--max-connections`, `--seed`,
- * `--max-records`, `--control` with JSON for all of them.
+ * Runs stand-ins of runners as a program, with the options `--port`, `--count`, `--host-id` (a prefix), `--slots`,
+ * `--max-connections`, `--seed`, `--max-records`, and `--control` (JSON that is applied to all of them).
  */
 
 import { parseArgs } from 'node:util'
 
 import { RunnerStandIn } from './RunnerStandIn.js'
-import { hostIds, runProgram } from './support.js'
+import { hostIds, runStandIns } from './support.js'
 
 const { values } = parseArgs({
   options: {
@@ -28,4 +28,4 @@
   maxRecords: Number(values['max-records'])
 }))
 for (const runner of runners) runner.control(JSON.parse(values.control) as Record<string, unknown>)
-await runProgram(runners, Number(values.port))
+await runStandIns(runners, Number(values.port))
--- a/test/standins/support.ts
+++ b/test/standins/support.ts
@@ -1,13 +1,13 @@
 /**
- * The start of a stand-in program: listens, prints one line that tells where, and ends on SIGTERM.
+ * Starts a stand-in program: it listens, prints a ready line with its addresses, and ends on SIGTERM.
  */
 
 import { StandInServer } from './StandInServer.js'
 
 import type { IStandIn } from './StandInServer.js'
 
-/** Starts one server per stand-in in this process and prints the ready line. `port` is for the first of one. */
-export async function runProgram (
+/** Starts one server for each stand-in and prints the ready line. `port` is used only if there is just one stand-in. */
+export async function runStandIns (
   standIns: readonly IStandIn[], port: number, extra: Readonly<Record<string, unknown>> = {}): Promise<readonly StandInServer[]> {
   const servers = standIns.map((standIn) => new StandInServer(standIn))
   const urls = await Promise.all(servers.map((server) => server.listen(servers.length === 1 ? port : 0)))
@@ -19,7 +19,7 @@
   return servers
 }
 
-/** `{ prefix }-{ index }` for each of `count`. */
+/** Returns `count` ids of the form `prefix-index`. */
 export function hostIds (prefix: string, count: number): readonly string[] {
   return Array.from({ length: count }, (_, index) => `${prefix}-${index}`)
 }
--- a/test/standins/worker.ts
+++ b/test/standins/worker.ts
@@ -1,11 +1,12 @@
 /**
- * Workers as a program: `--port`, `--count`, `--host-id` (a prefix), `--cores`, `--memory-bytes`, `--accelerators`,
- * `--clock-offset-ms` (each further host a second more), `--clock-rate`, `--control` with JSON for all of them.
+ * Runs stand-ins of workers as a program, with the options `--port`, `--count`, `--host-id` (a prefix), `--cores`,
+ * `--memory-bytes`, `--accelerators`, `--clock-offset-ms` (one second more for each further host), `--clock-rate`, and `--control`
+ * (JSON that is applied to all of them).
  */
 
 import { parseArgs } from 'node:util'
 
-import { hostIds, runProgram } from './support.js'
+import { hostIds, runStandIns } from './support.js'
 import { WorkerStandIn } from './WorkerStandIn.js'
 
 const OFFSET_STEP_MS = 1000
@@ -30,4 +31,4 @@
   clockRate: Number(values['clock-rate'])
 }))
 for (const worker of workers) worker.control(JSON.parse(values.control) as Record<string, unknown>)
-await runProgram(workers, Number(values.port))
+await runStandIns(workers, Number(values.port))
