--- a/test/DaemonArguments.test.ts
+++ b/test/DaemonArguments.test.ts
@@ -1,3 +1,7 @@
+/**
+ * Tests the arguments and exit codes of the daemons and of the command line, each as a process of its own.
+ */
+
 import { spawn } from 'node:child_process'
 import test from 'ava'
 
@@ -14,7 +18,7 @@
   return { code, output }
 }
 
-test('daemons tell how to start them, and in one line what is wrong', async t => {
+test('daemons print how to start them, and report a wrong start in one line', async t => {
   const gateway = 'examples/fraser/fraser-gateway.ini'
   const cases: ReadonlyArray<readonly [string, readonly string[], number, RegExp]> = [
     ['jackdawreel-gateway', ['--help'], 0, /--config/],
@@ -33,10 +37,10 @@
 })
 
 /**
- * An operator pipes a long table into `head`, which closes the pipe after its lines. Without care the operator sees a
- * stack trace below them, and a script that checks exit codes takes the command for failed.
+ * An operator pipes a long table into `head`, which closes the pipe after its lines. If the error of the closed pipe were not
+ * handled, the operator would see a stack trace, and a script that checks exit codes would take the command for failed.
  */
-test('the command line ends as done when its reader closes the pipe', async t => {
+test('the command line exits with success when the reader of its output closes the pipe', async t => {
   const settings = 'examples/fraser/fraser-gateway.ini'
   const child = spawn(process.execPath, ['dist/bin/jackdawreel.js', 'check-settings', settings], { stdio: ['ignore', 'pipe', 'pipe'] })
   child.stdout.destroy()
--- a/test/Docs.test.ts
+++ b/test/Docs.test.ts
@@ -1,3 +1,8 @@
+/**
+ * Checks that the pages list the log events, settings, exit codes, operator routes and profile fields of the code, and that the
+ * links between the pages are valid.
+ */
+
 import { existsSync, readFileSync, readdirSync } from 'node:fs'
 import { dirname, join } from 'node:path'
 import test from 'ava'
@@ -15,7 +20,7 @@
     .map(name => readFileSync(join(folder, name), 'utf8'))
 }
 
-test('every log event, setting and exit code stands in the operating pages', t => {
+test('the operating pages list every log event, setting and exit code', t => {
   const page = readFileSync('docs/OPERATING.md', 'utf8') + readFileSync('docs/OPERATIONS.md', 'utf8')
   const events = sources('src').flatMap(text => [...text.matchAll(LOG_CALL)].map(match => match[1] ?? ''))
   t.true(events.length > 0)
@@ -27,13 +32,13 @@
   for (const code of Object.values(EXIT)) t.true(page.includes(`\n| ${code} |`), String(code))
 })
 
-test('every operator route and profile field stands in the page on the interfaces', t => {
+test('the page on the interfaces lists every operator route and profile field', t => {
   const page = readFileSync('docs/API.md', 'utf8')
   for (const route of Object.values(OPERATOR_ROUTES)) t.true(page.includes(`\`${route}\``), route)
   for (const field of PROFILE_FIELDS) t.true(page.includes(`| \`${field}\` |`), field)
 })
 
-test('links between the pages lead somewhere', t => {
+test('links between the pages lead to existing files', t => {
   const pages = ['README.md', 'CONTRIBUTING.md', 'DEVELOPERS.md', ...readdirSync('docs').map(name => `docs/${name}`)].filter(name => name.endsWith('.md'))
   for (const page of pages) {
     const links = [...readFileSync(page, 'utf8').matchAll(LINK)].map(match => match[1] ?? '')
--- a/test/OperatorPath.test.ts
+++ b/test/OperatorPath.test.ts
@@ -1,3 +1,7 @@
+/**
+ * Tests the operator's command line against a whole cell of real processes.
+ */
+
 import test from 'ava'
 import { EXIT } from '../src/operator/ExitCodes.js'
 import { Program } from '../src/operator/Program.js'
@@ -10,7 +14,7 @@
 const SMALL_CELL = { regions: ['okanagan'], runnersPerRegion: 2, workersPerRegion: 0 }
 const POLL_MS = 50
 
-async function setUp (t: ExecutionContext) {
+async function startCell (t: ExecutionContext) {
   const cell = await Cell.start(SMALL_CELL)
   t.teardown(async () => {
     await cell.stopDaemons()
@@ -30,11 +34,10 @@
   return { cell, run }
 }
 
-// The store takes each change and loses its answer, as it does on a bad day. The operator must not be told that a
-// change failed which every process obeys a moment later; and while the store is gone, looking goes on and an edit is
-// refused as not done.
-test('an operator edits a profile through lost answers and an outage, and sees it in force and requests counted', async t => {
-  const { cell, run } = await setUp(t)
+// The store applies each change but loses its answer. The operator must not be told that a change failed that takes effect in every
+// process a moment later. While the store can't be reached, reads still work and an edit is refused as not done.
+test('an operator edits a profile despite lost answers and an outage, and sees it in force and requests counted', async t => {
+  const { cell, run } = await startCell(t)
   await cell.control(cell.storeControlUrl, { loseAnswers: 1 })
   t.like(await run('profile', 'put', 'urgent', '--set', 'deadlineMs=4000'), { code: EXIT.done, text: 'accepted: profile urgent is at revision 2' })
   await cell.control(cell.storeControlUrl, { loseAnswers: 0, outage: 'hang' })
--- a/test/policy/TestWork.ts
+++ b/test/policy/TestWork.ts
@@ -1,5 +1,5 @@
 /**
- * Small builders of work, hosts and engines for the tests of the policy.
+ * Builders of work items, hosts and decision engines for the tests of the policy.
  */
 
 import { ManualClock } from '../../src/common/Clock.js'
@@ -56,21 +56,22 @@
 export function engineWith (kind: CapacityKind, ...hosts: readonly IEngineHost[]): { clock: ManualClock, engine: DecisionEngine } {
   const clock = new ManualClock()
   const engine = new DecisionEngine(clock, new SeededRandom(1), { kind })
-  for (const one of hosts) engine.putHost(one)
+  for (const engineHost of hosts) engine.putHost(engineHost)
   return { clock, engine }
 }
 
+/** Takes decisions from the engine until it has no more, and returns them. */
 export function decisions (engine: IDecisionEngine): readonly EngineDecision[] {
-  const all: EngineDecision[] = []
-  for (let decision = engine.next(); decision !== undefined; decision = engine.next()) all.push(decision)
-  return all
+  const taken: EngineDecision[] = []
+  for (let decision = engine.next(); decision !== undefined; decision = engine.next()) taken.push(decision)
+  return taken
 }
 
-/** The ids of what is placed now, each with its host. */
+/** Takes all decisions from the engine; returns the host of each item that was placed, by item id. */
 export function placed (engine: IDecisionEngine): Readonly<Record<string, string>> {
-  const places: Record<string, string> = {}
+  const hostByItem: Record<string, string> = {}
   for (const decision of decisions(engine)) {
-    if (decision.type === 'place') places[decision.item.id] = decision.hostId
+    if (decision.type === 'place') hostByItem[decision.item.id] = decision.hostId
   }
-  return places
+  return hostByItem
 }
