--- a/test/ControllerPath.test.ts
+++ b/test/ControllerPath.test.ts
@@ -200,7 +200,7 @@
  * process is the owner again a moment later.
  */
 async function waitForPage (controller: IController | undefined, page: 'metrics' | 'dump', expected: readonly RegExp[]): Promise<void> {
-  await eventually(`${page} matches ${expected.join(', ')}`, async () => {
+  await eventually(`${page} page matches ${expected.join(', ')}`, async () => {
     const answer = await request(`${controller?.urls?.metrics}/${page}`)
     const text = await answer.body.text()
     return answer.statusCode === 200 && expected.every((pattern) => pattern.test(text))
