--- a/test/ControllerPath.test.ts
+++ b/test/ControllerPath.test.ts
@@ -176,7 +176,9 @@
   addSubmittedJob(checker, '00000000000000f1', [1])
   await waitUntilAccepted(controller, '/urgent/00000000000000f1', jobBody([1]))
   await waitUntilCompleted(controller, '/urgent/00000000000000f1')
-  await waitForPage(controller, 'metrics', [/jackdawreel_submissions_total\{kind="accepted"\} [1-9]/, /jackdawreel_ends_total\{kind="done"\} 1/, /jackdawreel_owner 1/])
+  await waitForPage(controller, 'metrics', [
+    /jackdawreel_submissions_total\{kind="accepted"\} [1-9]/, /jackdawreel_ends_total\{kind="done"\} 1/, /jackdawreel_owner 1/
+  ])
   await waitForPage(controller, 'dump', [/"cell":\{"fence":\d+,"jobs":1,/])
   t.pass()
 })
--- a/test/prove/RequestProofs.ts
+++ b/test/prove/RequestProofs.ts
@@ -11,7 +11,9 @@
 import type { IProof } from './Types.js'
 
 /** Sends load until `injectFaults` has finished; returns the checker and the requests that never ended. */
-async function runUnderLoad (cell: Cell, options: Partial<ILoadOptions>, injectFaults: () => Promise<void>): Promise<{ checker: Judge, open: Load['records'] }> {
+async function runUnderLoad (
+  cell: Cell, options: Partial<ILoadOptions>, injectFaults: () => Promise<void>
+): Promise<{ checker: Judge, open: Load['records'] }> {
   const load = new Load(cell, { ...DEFAULT_LOAD, ...options })
   await load.start()
   await injectFaults()
--- a/test/soak/Callers.ts
+++ b/test/soak/Callers.ts
@@ -1,6 +1,6 @@
 /**
- * The callers of a soak. They submit jobs, repeat a submission under the same id if its answer leaves the result open, cancel some
- * jobs, and query the state of all of them.
+ * The callers of a soak. They submit jobs, repeat a submission that was not accepted under the same id, cancel some jobs, and query
+ * the state of all accepted ones.
  */
 
 import { Agent, request } from 'undici'
--- a/test/soak/Judge.ts
+++ b/test/soak/Judge.ts
@@ -12,7 +12,7 @@
   /** The number of tasks of each step; a step starts after the step before it is done. */
   readonly counts: readonly number[]
   accepted: boolean
-  /** Whether a submission was accepted, or may have been accepted because its answer did not arrive. */
+  /** Whether a submission was accepted, or may have been because its answer was lost or left the result open. */
   isPossiblyAccepted: boolean
   refusedSubmissions: number
   cancelledAtMs?: number
@@ -105,7 +105,8 @@
     if (done === undefined || job.gang) return
     const disturbedAtMs = this._disturbedAtMs.get(done.hostId) ?? -Infinity
     if (disturbedAtMs > done.atMs - UNREPORTED_END_MS) return
-    this._report(`${task} run ${run} started on ${hostId} although it was done on ${done.hostId} ${Math.round(performance.now() - done.atMs)} ms before`)
+    this._report(
+      `${task} run ${run} started on ${hostId} although it was done on ${done.hostId} ${Math.round(performance.now() - done.atMs)} ms before`)
   }
 
   private _checkStepOrder (job: ICheckedJob, task: string): void {
--- a/test/standins/StandInServer.ts
+++ b/test/standins/StandInServer.ts
@@ -45,7 +45,7 @@
     return `http://${LOOPBACK}:${this._port}`
   }
 
-  /** Listens on `port`; 0 means a free one. Without an argument it listens on the same port as before, for use after `refuse`. */
+  /** Listens on `port`; 0 means a free one. Without an argument it listens on the same port as before the connections were refused. */
   public listen (port = this._port): Promise<string> {
     return new Promise((resolve, reject) => {
       this._server.once('error', reject)
--- a/test/support/Cell.ts
+++ b/test/support/Cell.ts
@@ -206,7 +206,8 @@
     const { runnersPerRegion, runnerProcesses, workersPerRegion, slots, worker } = this.options
     if (runnersPerRegion > 0) {
       const count = ['--count', String(runnersPerRegion / runnerProcesses), '--slots', String(slots)]
-      const starts = Array.from({ length: runnerProcesses }, async () => await this._startStandIn('runner', [...count, '--host-id', `runner-${region}`]))
+      const starts = Array.from(
+        { length: runnerProcesses }, async () => await this._startStandIn('runner', [...count, '--host-id', `runner-${region}`]))
       this._addHosts('runner', region, (await Promise.all(starts)).flatMap(({ urls }) => urls))
     }
     if (workersPerRegion === 0) return
--- a/test/support/MemoryStore.ts
+++ b/test/support/MemoryStore.ts
@@ -62,7 +62,7 @@
     this._faults.length = 0
   }
 
-  /** Holds back every answer until `letGo` is called, as a store that hangs does. */
+  /** Holds back every answer until the answers are released, as a store that hangs does. */
   public hold (): void {
     this._heldAnswers ??= []
   }
--- a/test/support/SimulatedCell.ts
+++ b/test/support/SimulatedCell.ts
@@ -129,7 +129,9 @@
     const machines = Array.from({ length: this._options.adviceMachines ?? ADVICE_MACHINES }, (_, number) => ({ name: `machine-${number}`, isNear: true }))
     const scheduler = new CellScheduler({
       save: async (job) => { await this._save(job) },
-      start: async (entry, order) => this._isTicketStale(order.ticket) ? { kind: 'refused', reason: 'ticket' } : this._hostOf(entry.hostId).start({ ...order, fence }),
+      start: async (entry, order) => this._isTicketStale(order.ticket)
+        ? { kind: 'refused', reason: 'ticket' }
+        : this._hostOf(entry.hostId).start({ ...order, fence }),
       stop: async (entry, ref) => this._hostOf(entry.hostId).stop(ref, fence),
       stopUnknown: async (entry, ref) => this._hostOf(entry.hostId).stop(ref, fence),
       onFenced: () => {},
--- a/test/support/SimulatedHost.ts
+++ b/test/support/SimulatedHost.ts
@@ -43,7 +43,7 @@
   public isSilent = false
   /** The tasks make no progress. */
   public isStuck = false
-  /** Start orders get no answer; `carryOutLate` carries them out later. */
+  /** Start orders get no answer, but are kept so that they can be carried out later. */
   public losesStarts = false
   private _lateStarts: IStartOrder[] = []
 
