--- a/spec/MembershipSpec.ts
+++ b/spec/MembershipSpec.ts
@@ -1,7 +1,7 @@
 /**
- * The precedence of statements about one member: two observers suspect it, declare it dead, forget it; it stalls,
- * leaves, restarts or stops; and everything ever said may arrive anywhere, at any time, any number of times. The
- * observers and the member run the code's own `comparePrecedence` and `refute`.
+ * The precedence of statements about one member. Two observers suspect the member, declare it dead or forget it. The
+ * member stalls, leaves, restarts or stops. Every statement that was ever made may arrive at any process, at any time and
+ * any number of times. The observers and the member run the real `comparePrecedence` and `refute`.
  */
 
 import { comparePrecedence, refute } from '../src/common/membership/Precedence.js'
@@ -10,7 +10,7 @@
 const OBSERVERS = ['x', 'y'] as const
 const MEMBER = 'm'
 const MAX_INCARNATION = 2
-/** Suspicions of a member that runs; of one that has stopped there is no end. */
+/** The maximum number of suspicions of a running member. Suspicions of a stopped member are not bounded. */
 const MAX_SUSPICIONS = 1
 
 type ObserverName = typeof OBSERVERS[number]
@@ -28,76 +28,76 @@
 
 export interface IMembershipState {
   member: IStatement
-  running: boolean
+  isRunning: boolean
   suspicions: number
-  /** What each observer holds; null for one that has forgotten the member altogether. */
-  holds: Record<ObserverName, IStatement | null>
-  /** The strongest statement that each observer ever held. */
-  best: Record<ObserverName, IStatement>
-  /** The incarnation that each observer has seen leaving; 0 for none. */
-  sawLeaving: Record<ObserverName, number>
-  /** Everything ever said, as text, sorted. */
-  said: string[]
+  /** The statement that each observer holds; null if the observer has forgotten the member. */
+  held: Record<ObserverName, IStatement | null>
+  /** The statement with the highest precedence that each observer ever held. */
+  strongest: Record<ObserverName, IStatement>
+  /** The incarnation that each observer has seen in the state `leaving`; 0 for none. */
+  leavingIncarnation: Record<ObserverName, number>
+  /** All statements ever made, as text, sorted. */
+  statements: string[]
 }
 
-function news (statement: IStatement): IMemberNews {
+function toNews (statement: IStatement): IMemberNews {
   return { processId: MEMBER, ...statement }
 }
 
 function compare (a: IStatement, b: IStatement, mutant: string | undefined): number {
-  if (mutant !== 'ignore-sequence') return comparePrecedence(news(a), news(b))
-  return comparePrecedence({ ...news(a), sequence: 0 }, { ...news(b), sequence: 0 })
+  if (mutant !== 'ignore-sequence') return comparePrecedence(toNews(a), toNews(b))
+  return comparePrecedence({ ...toNews(a), sequence: 0 }, { ...toNews(b), sequence: 0 })
 }
 
 function textOf ({ incarnation, sequence, state }: IStatement): string {
   return `${incarnation}.${sequence}.${state}`
 }
 
-function parse (text: string): IStatement {
+function parseStatement (text: string): IStatement {
   const [incarnation, sequence, state] = text.split('.')
   return { incarnation: Number(incarnation), sequence: Number(sequence), state: state as MemberState }
 }
 
-function say (state: IMembershipState, statement: IStatement): void {
+function addStatement (state: IMembershipState, statement: IStatement): void {
   const text = textOf(statement)
-  if (!state.said.includes(text)) state.said = [...state.said, text].sort()
+  if (!state.statements.includes(text)) state.statements = [...state.statements, text].sort()
 }
 
-function hold (state: IMembershipState, observer: ObserverName, statement: IStatement): void {
-  state.holds[observer] = statement
-  if (comparePrecedence(news(statement), news(state.best[observer])) > 0) state.best[observer] = statement
-  if (statement.state === 'leaving') state.sawLeaving[observer] = statement.incarnation
+function holdStatement (state: IMembershipState, observer: ObserverName, statement: IStatement): void {
+  state.held[observer] = statement
+  if (comparePrecedence(toNews(statement), toNews(state.strongest[observer])) > 0) state.strongest[observer] = statement
+  if (statement.state === 'leaving') state.leavingIncarnation[observer] = statement.incarnation
 }
 
-function assertAs (state: IMembershipState, observer: ObserverName, memberState: MemberState): void {
-  const statement = { ...state.holds[observer] as IStatement, state: memberState }
-  hold(state, observer, statement)
-  say(state, statement)
+function declareState (state: IMembershipState, observer: ObserverName, memberState: MemberState): void {
+  const statement = { ...state.held[observer] as IStatement, state: memberState }
+  holdStatement(state, observer, statement)
+  addStatement(state, statement)
 }
 
-function hear (state: IMembershipState, observer: ObserverName, statement: IStatement, mutant: string | undefined): void {
-  const held = state.holds[observer]
-  if (held === null || compare(statement, held, mutant) > 0) hold(state, observer, statement)
+function receiveStatement (state: IMembershipState, observer: ObserverName, statement: IStatement, mutant: string | undefined): void {
+  const held = state.held[observer]
+  if (held === null || compare(statement, held, mutant) > 0) holdStatement(state, observer, statement)
 }
 
-function speak (state: IMembershipState, statement: IStatement): void {
+function announceSelf (state: IMembershipState, statement: IStatement): void {
   state.member = statement
-  say(state, statement)
+  addStatement(state, statement)
 }
 
-function hearOfSelf (state: IMembershipState, statement: IStatement, mutant: string | undefined): void {
-  const answer = refute(news(state.member), news(statement))
+function receiveNewsOfSelf (state: IMembershipState, statement: IStatement, mutant: string | undefined): void {
+  const answer = refute(toNews(state.member), toNews(statement))
   if (answer === undefined) return
   const sequence = mutant === 'refute-at-same-sequence' ? statement.sequence : answer.sequence
   const memberState = mutant === 'refute-as-alive' ? 'alive' : answer.state
-  speak(state, { incarnation: answer.incarnation, sequence, state: memberState })
+  announceSelf(state, { incarnation: answer.incarnation, sequence, state: memberState })
 }
 
 function observerEvents (state: IMembershipState, observer: ObserverName, mutant: string | undefined): readonly ISpecStep[] {
-  const held = state.holds[observer]
-  const maySuspect = !state.running || state.suspicions < MAX_SUSPICIONS
-  const telling = state.said.filter((text) => held === null || compare(parse(text), held, mutant) > 0)
-  const events: ISpecStep[] = telling.map((text) => ({ type: `hear ${text}`, by: observer }))
+  const held = state.held[observer]
+  const maySuspect = !state.isRunning || state.suspicions < MAX_SUSPICIONS
+  const effective = state.statements.filter((text) => held === null || compare(parseStatement(text), held, mutant) > 0)
+  const events: ISpecStep[] = effective.map((text) => ({ type: `hear ${text}`, by: observer }))
   if (held?.state === 'alive' && maySuspect) events.push({ type: 'suspect', by: observer })
   if (held?.state === 'suspect' || (held?.state === 'leaving' && maySuspect)) events.push({ type: 'declareDead', by: observer })
   if (held?.state === 'dead' && mutant === 'no-last-word') events.push({ type: 'forget', by: observer })
@@ -105,9 +105,9 @@
 }
 
 function memberEvents (state: IMembershipState): readonly ISpecStep[] {
-  if (!state.running) return []
-  const telling = state.said.filter((text) => refute(news(state.member), news(parse(text))) !== undefined)
-  const events: ISpecStep[] = telling.map((text) => ({ type: `hear ${text}`, by: MEMBER }))
+  if (!state.isRunning) return []
+  const effective = state.statements.filter((text) => refute(toNews(state.member), toNews(parseStatement(text))) !== undefined)
+  const events: ISpecStep[] = effective.map((text) => ({ type: `hear ${text}`, by: MEMBER }))
   if (state.member.state === 'alive') events.push({ type: 'leave', by: MEMBER })
   if (state.member.incarnation < MAX_INCARNATION) events.push({ type: 'restart', by: MEMBER })
   return [...events, { type: 'stop', by: MEMBER }]
@@ -115,18 +115,18 @@
 
 function applyMemberEvent (state: IMembershipState, type: string, mutant: string | undefined): void {
   const { incarnation, sequence } = state.member
-  if (type === 'leave') speak(state, { incarnation, sequence: sequence + 1, state: 'leaving' })
-  else if (type === 'restart') speak(state, { incarnation: incarnation + 1, sequence: 0, state: 'alive' })
-  else if (type === 'stop') state.running = false
-  else hearOfSelf(state, parse(type.slice('hear '.length)), mutant)
+  if (type === 'leave') announceSelf(state, { incarnation, sequence: sequence + 1, state: 'leaving' })
+  else if (type === 'restart') announceSelf(state, { incarnation: incarnation + 1, sequence: 0, state: 'alive' })
+  else if (type === 'stop') state.isRunning = false
+  else receiveNewsOfSelf(state, parseStatement(type.slice('hear '.length)), mutant)
 }
 
 function applyObserverEvent (state: IMembershipState, type: string, observer: ObserverName, mutant: string | undefined): void {
   if (type === 'suspect' || type === 'declareDead') {
-    if (state.running && (type === 'suspect' || state.holds[observer]?.state === 'leaving')) state.suspicions += 1
-    assertAs(state, observer, type === 'suspect' ? 'suspect' : 'dead')
-  } else if (type === 'forget') state.holds[observer] = null
-  else hear(state, observer, parse(type.slice('hear '.length)), mutant)
+    if (state.isRunning && (type === 'suspect' || state.held[observer]?.state === 'leaving')) state.suspicions += 1
+    declareState(state, observer, type === 'suspect' ? 'suspect' : 'dead')
+  } else if (type === 'forget') state.held[observer] = null
+  else receiveStatement(state, observer, parseStatement(type.slice('hear '.length)), mutant)
 }
 
 const START: IStatement = { incarnation: 1, sequence: 0, state: 'alive' }
@@ -134,9 +134,9 @@
 export const membershipSpec = {
   name: 'membership',
   properties: {
-    neverBack: 'No observer ever takes a statement that does not hold over one that it held before: the dead stay dead, whatever old gossip says.',
-    leavingStays: 'An observer that saw an incarnation leaving never sees it alive again.',
-    progress: 'From every state all observers can come to hold what the running member says of itself, or that a stopped one is dead.'
+    neverBack: 'No observer ever accepts a statement of lower precedence than one that it held before: old gossip cannot bring a dead member back.',
+    leavingStays: 'An observer that has seen an incarnation leaving never sees it alive again.',
+    progress: 'From every state all observers can still learn what the running member states about itself, or that a stopped member is dead.'
   },
   bounds: [`${OBSERVERS.length} observers`, `${MAX_INCARNATION} incarnations`, `${MAX_SUSPICIONS} suspicions of the running member`],
   mutants: {
@@ -147,12 +147,12 @@
   },
   initial: (): IMembershipState => ({
     member: START,
-    running: true,
+    isRunning: true,
     suspicions: 0,
-    holds: { x: START, y: START },
-    best: { x: START, y: START },
-    sawLeaving: { x: 0, y: 0 },
-    said: [textOf(START)]
+    held: { x: START, y: START },
+    strongest: { x: START, y: START },
+    leavingIncarnation: { x: 0, y: 0 },
+    statements: [textOf(START)]
   }),
   events: (state: IMembershipState, mutant: string | undefined): readonly ISpecStep[] =>
     [...OBSERVERS.flatMap((observer) => observerEvents(state, observer, mutant)), ...memberEvents(state)],
@@ -160,20 +160,20 @@
     if (by === MEMBER) applyMemberEvent(state, type, mutant)
     else applyObserverEvent(state, type, by as ObserverName, mutant)
   },
-  broken: (state: IMembershipState): readonly string[] => {
-    const broken: string[] = []
+  violatedProperties: (state: IMembershipState): readonly string[] => {
+    const violated: string[] = []
     for (const observer of OBSERVERS) {
-      const held = state.holds[observer]
+      const held = state.held[observer]
       if (held === null) continue
-      if (comparePrecedence(news(held), news(state.best[observer])) < 0) broken.push('neverBack')
-      if (held.state === 'alive' && state.sawLeaving[observer] === held.incarnation) broken.push('leavingStays')
+      if (comparePrecedence(toNews(held), toNews(state.strongest[observer])) < 0) violated.push('neverBack')
+      if (held.state === 'alive' && state.leavingIncarnation[observer] === held.incarnation) violated.push('leavingStays')
     }
-    return broken
+    return violated
   },
-  goal: (state: IMembershipState): boolean => OBSERVERS.every((observer) => {
-    const held = state.holds[observer]
+  isGoal: (state: IMembershipState): boolean => OBSERVERS.every((observer) => {
+    const held = state.held[observer]
     if (held === null) return false
-    return state.running ? textOf(held) === textOf(state.member) : held.state === 'dead'
+    return state.isRunning ? textOf(held) === textOf(state.member) : held.state === 'dead'
   }),
-  unfair: ['leave', 'restart', 'stop']
+  unfairEvents: ['leave', 'restart', 'stop']
 } as const
--- a/spec/Model.ts
+++ b/spec/Model.ts
@@ -1,21 +1,21 @@
 /**
- * What a specification is, and its exhaustive exploration with `xstate/graph`.
+ * The interface of a specification, and its exhaustive exploration with `xstate/graph`.
  *
- * A specification is a set of states as plain data, the events possible in each, and what follows from each. Every
- * reachable state is visited, breadth first, so the trace to a violation is a shortest one. A mutant is the same
- * specification with one safeguard taken out; it must give a violation, or the property proves nothing.
+ * A specification defines states as plain data, the events that are possible in each state, and the state after each
+ * event. The exploration visits every reachable state, breadth first, so the trace to a violation is a shortest one. A
+ * mutant is the same specification without one safeguard. It must violate a property, or else the property proves nothing.
  */
 
 import { fromTransition } from 'xstate'
 import { getAdjacencyMap } from 'xstate/graph'
 
-/** One step of a trace: `type` and, where it matters, by whom. */
+/** One step of a trace: its type and, where it matters, who takes it. */
 export interface ISpecEvent {
   readonly type: string
   readonly by?: string
 }
 
-/** The violated property and what was seen. */
+/** The violated property and the steps that lead to the violation. */
 export interface IViolation {
   readonly property: string
   readonly trace: readonly string[]
@@ -23,23 +23,23 @@
 
 export interface ISpec<S> {
   readonly name: string
-  /** What must hold in every state, and from every state: named, in one sentence each. */
+  /** The properties that must hold, by name, each described in one sentence. */
   readonly properties: Readonly<Record<string, string>>
-  /** What the exploration is bounded by. */
+  /** The bounds of the exploration. */
   readonly bounds: readonly string[]
-  /** Each mutant with the property that it breaks. */
+  /** Each mutant with the property that it violates. */
   readonly mutants: Readonly<Record<string, string>>
   initial (): S
   /** The events possible in a state, under a mutant or none. */
   events (state: S, mutant: string | undefined): readonly ISpecEvent[]
-  /** What follows; `state` is a copy that may be changed. */
+  /** Changes `state`, which is a copy, to the state after the event. */
   apply (state: S, event: ISpecEvent, mutant: string | undefined): void
-  /** The names of the properties that a state breaks. */
-  broken (state: S): readonly string[]
-  /** From every state some state must be reachable in which this holds; the property's name is `progress`. */
-  readonly goal: (state: S) => boolean
-  /** Types of events that progress must not depend on. */
-  readonly unfair?: readonly string[]
+  /** Returns the names of the properties that a state violates. */
+  violatedProperties (state: S): readonly string[]
+  /** From every state, a state for which this is true must be reachable. The name of this property is `progress`. */
+  readonly isGoal: (state: S) => boolean
+  /** The types of events that progress must not depend on, because they need not happen. */
+  readonly unfairEvents?: readonly string[]
 }
 
 export interface ISpecResult {
@@ -48,7 +48,7 @@
   readonly violation: IViolation | undefined
 }
 
-/** More states than this means that a bound is missing. */
+/** The limit of the exploration. A specification that reaches it lacks a bound. */
 const MAX_TRAVERSALS = 3_000_000
 
 interface INode<S> {
@@ -60,34 +60,35 @@
   readonly transitions: Record<string, { readonly event: ISpecEvent, readonly state: INode<S> }>
 }>
 
-/** Explores a specification for all its properties, or one of its mutants for the property that it breaks. */
+/** Explores a specification for all its properties, or one of its mutants for the property that the mutant violates. */
 export function explore<S> (spec: ISpec<S>, mutant?: string): ISpecResult {
-  const only = mutant === undefined ? undefined : spec.mutants[mutant]
-  const check = (node: INode<S>): string | undefined => spec.broken(node.context).find((property) => only === undefined || property === only)
+  const onlyProperty = mutant === undefined ? undefined : spec.mutants[mutant]
+  const violatedProperty = (node: INode<S>): string | undefined =>
+    spec.violatedProperties(node.context).find((property) => onlyProperty === undefined || property === onlyProperty)
   const texts = new WeakMap<object, string>()
-  let broken = false
+  let isViolated = false
   const step = (state: S, event: ISpecEvent): S => {
-    const next = JSON.parse(textOf(texts, state)) as S
+    const next = JSON.parse(serialize(texts, state)) as S
     spec.apply(next, event, mutant)
     return next
   }
   const logic = fromTransition(step as never, spec.initial() as never)
   const adjacency = getAdjacencyMap(logic as never, {
-    // Nothing is explored past the first violation: what is queued by then can only be as far from the start or farther.
+    // Nothing is explored past the first violation: no state that is still queued is nearer to the initial state.
     events: (node: INode<S>) => {
-      broken = broken || check(node) !== undefined
-      return broken ? [] : spec.events(node.context, mutant)
+      isViolated = isViolated || violatedProperty(node) !== undefined
+      return isViolated ? [] : spec.events(node.context, mutant)
     },
-    serializeState: (node: INode<S>) => textOf(texts, node.context),
-    serializeEvent: nameOf,
+    serializeState: (node: INode<S>) => serialize(texts, node.context),
+    serializeEvent: eventName,
     limit: MAX_TRAVERSALS
   } as never) as unknown as Adjacency<S>
   const keys = Object.keys(adjacency)
   const transitions = keys.reduce((sum, key) => sum + Object.keys(adjacency[key]?.transitions ?? {}).length, 0)
-  return { states: keys.length, transitions, violation: findViolation(spec, adjacency, keys, texts, check) }
+  return { states: keys.length, transitions, violation: findViolation(spec, adjacency, keys, texts, violatedProperty) }
 }
 
-function textOf (texts: WeakMap<object, string>, state: unknown): string {
+function serialize (texts: WeakMap<object, string>, state: unknown): string {
   const known = texts.get(state as object)
   if (known !== undefined) return known
   const text = JSON.stringify(state)
@@ -95,51 +96,52 @@
   return text
 }
 
-function nameOf (event: ISpecEvent): string {
+function eventName (event: ISpecEvent): string {
   return event.by === undefined ? event.type : `${event.type}(${event.by})`
 }
 
 function findViolation<S> (
-  spec: ISpec<S>, adjacency: Adjacency<S>, keys: readonly string[], texts: WeakMap<object, string>, check: (node: INode<S>) => string | undefined
+  spec: ISpec<S>, adjacency: Adjacency<S>, keys: readonly string[], texts: WeakMap<object, string>,
+  violatedProperty: (node: INode<S>) => string | undefined
 ): IViolation | undefined {
-  const unsafe = keys.find((key) => check((adjacency[key] as { state: INode<S> }).state) !== undefined)
+  const unsafe = keys.find((key) => violatedProperty((adjacency[key] as { state: INode<S> }).state) !== undefined)
   if (unsafe !== undefined) {
-    const property = check((adjacency[unsafe] as { state: INode<S> }).state) ?? ''
-    return { property, trace: traceTo(adjacency, keys, unsafe, texts) }
+    const property = violatedProperty((adjacency[unsafe] as { state: INode<S> }).state) ?? ''
+    return { property, trace: findTrace(adjacency, keys, unsafe, texts) }
   }
-  const stuck = firstStuck(spec, adjacency, keys, texts)
-  return stuck === undefined ? undefined : { property: 'progress', trace: traceTo(adjacency, keys, stuck, texts) }
+  const stuck = findFirstStuck(spec, adjacency, keys, texts)
+  return stuck === undefined ? undefined : { property: 'progress', trace: findTrace(adjacency, keys, stuck, texts) }
 }
 
-/** The first state, breadth first, from which no goal can be reached any more. */
-function firstStuck<S> (
+/** Finds the first state, breadth first, from which no goal state can be reached. */
+function findFirstStuck<S> (
   spec: ISpec<S>, adjacency: Adjacency<S>, keys: readonly string[], texts: WeakMap<object, string>
 ): string | undefined {
-  const before = new Map<string, string[]>(keys.map((key) => [key, []]))
+  const predecessors = new Map<string, string[]>(keys.map((key) => [key, []]))
   for (const key of keys) {
     for (const { event, state } of Object.values(adjacency[key]?.transitions ?? {})) {
-      if (spec.unfair?.includes(event.type) !== true) before.get(textOf(texts, state.context))?.push(key)
+      if (spec.unfairEvents?.includes(event.type) !== true) predecessors.get(serialize(texts, state.context))?.push(key)
     }
   }
-  const open = keys.filter((key) => spec.goal((adjacency[key] as { state: INode<S> }).state.context))
-  const canReach = new Set(open)
-  for (let key = open.pop(); key !== undefined; key = open.pop()) {
-    for (const earlier of before.get(key) ?? []) {
-      if (canReach.has(earlier)) continue
-      canReach.add(earlier)
-      open.push(earlier)
+  const queue = keys.filter((key) => spec.isGoal((adjacency[key] as { state: INode<S> }).state.context))
+  const canReach = new Set(queue)
+  for (let key = queue.pop(); key !== undefined; key = queue.pop()) {
+    for (const predecessor of predecessors.get(key) ?? []) {
+      if (canReach.has(predecessor)) continue
+      canReach.add(predecessor)
+      queue.push(predecessor)
     }
   }
   return keys.find((key) => !canReach.has(key))
 }
 
-/** The steps from the initial state; the map is in breadth-first order, so the first way found is a shortest one. */
-function traceTo<S> (adjacency: Adjacency<S>, keys: readonly string[], target: string, texts: WeakMap<object, string>): readonly string[] {
+/** Finds the steps from the initial state. The map is in breadth-first order, so the first path found is a shortest one. */
+function findTrace<S> (adjacency: Adjacency<S>, keys: readonly string[], target: string, texts: WeakMap<object, string>): readonly string[] {
   const cameFrom = new Map<string, { readonly key: string, readonly step: string }>()
   for (const key of keys) {
     for (const { event, state } of Object.values(adjacency[key]?.transitions ?? {})) {
-      const next = textOf(texts, state.context)
-      if (next !== keys[0] && !cameFrom.has(next)) cameFrom.set(next, { key, step: nameOf(event) })
+      const next = serialize(texts, state.context)
+      if (next !== keys[0] && !cameFrom.has(next)) cameFrom.set(next, { key, step: eventName(event) })
     }
   }
   const trace: string[] = []
--- a/spec/ProfileSpec.ts
+++ b/spec/ProfileSpec.ts
@@ -1,9 +1,9 @@
 /**
- * One profile, two operators who race to change it, and two processes that keep a copy. The store writes by
- * compare-and-swap on the revision that the operator saw; its answer may be lost; an operator may then read back.
- * A process hears of a change from the store or from the other process, and may start anew with an empty copy.
+ * One profile, two operators who change it concurrently, and two processes that keep a copy. The store writes by
+ * compare-and-swap on the revision that the operator has read. Its answer may be lost; the operator may then read back.
+ * A process learns of a change from the store or from the other process, and may restart with an empty copy.
  *
- * Entries are the code's `IConfigEntry` without what plays no part here. A process takes them in as the code does, by
+ * Entries are the real `IConfigEntry` without the fields that do not matter here. A process applies them with the real
  * `ConfigReplica`.
  */
 
@@ -25,29 +25,29 @@
 type Answer = 'accepted' | 'refused' | 'unknown'
 
 interface IOperatorState {
-  /** The revision it has seen and changes from; null before it has read. */
-  seen: number | null
-  /** A change on its way to the store. */
-  sent: Entry | null
+  /** The revision that the operator has read and bases its change on; null before the operator has read. */
+  seenRevision: number | null
+  /** A change in flight to the store. */
+  sentEntry: Entry | null
   /** A change whose answer was lost. */
-  doubt: Entry | null
-  /** A request that nobody waits for and that may still arrive. */
-  stray: Entry | null
-  /** The change on its way has been sent before: a conflict may be with its own first request. */
-  repeats: boolean
+  uncertainEntry: Entry | null
+  /** A change whose answer nobody waits for and that may still arrive. */
+  strayEntry: Entry | null
+  /** Whether the change in flight has been sent before, so that a conflict may be with its own first request. */
+  isRepeated: boolean
   changes: number
-  /** What it was told of each of its changes, by nonce. */
-  told: Record<string, Answer>
+  /** The answer to each of the operator's changes, by nonce. */
+  answers: Record<string, Answer>
 }
 
 export interface IProfileState {
   store: Entry
-  /** Every entry that ever stood in the store, oldest first. */
+  /** Every entry that the store ever held, oldest first. */
   history: Entry[]
   operators: Record<OperatorName, IOperatorState>
   replicas: Record<ProcessName, Entry | null>
-  /** The highest revision that each process ever had, over its restarts too if another one kept it. */
-  reverted: boolean
+  /** Whether a process has ever replaced its entry by one of a lower revision. A restart, which empties the copy, does not count. */
+  hasReverted: boolean
   faults: number
   restarts: number
 }
@@ -55,86 +55,87 @@
 const FIRST: Entry = { revision: 1, deleted: false, writer: 'start', nonce: 'start' }
 
 function newOperator (): IOperatorState {
-  return { seen: null, sent: null, doubt: null, stray: null, repeats: false, changes: 0, told: {} }
+  return { seenRevision: null, sentEntry: null, uncertainEntry: null, strayEntry: null, isRepeated: false, changes: 0, answers: {} }
 }
 
-function swap (state: IProfileState, entry: Entry, mutant: string | undefined): boolean {
+function swapEntry (state: IProfileState, entry: Entry, mutant: string | undefined): boolean {
   const expected = entry.revision - 1
   if (state.store.revision !== expected && mutant !== 'no-compare') return false
-  // The mutant drops the entry of a deletion, so that the next change counts from one again.
+  // The mutant drops the entry of a deletion, so that revisions start from one again.
   const written = mutant === 'deletion-forgets' && entry.deleted ? { ...entry, revision: 0 } : entry
   state.store = written
   state.history.push(written)
   return true
 }
 
-function change (state: IProfileState, name: OperatorName, deleted: boolean): void {
+function sendChange (state: IProfileState, name: OperatorName, deleted: boolean): void {
   const operator = state.operators[name]
   operator.changes += 1
-  const revision = (operator.seen ?? 0) + 1
-  operator.sent = { revision, deleted, writer: name, nonce: `${name}${operator.changes}` }
-  operator.seen = null
+  const revision = (operator.seenRevision ?? 0) + 1
+  operator.sentEntry = { revision, deleted, writer: name, nonce: `${name}${operator.changes}` }
+  operator.seenRevision = null
 }
 
-function arrive (state: IProfileState, name: OperatorName, mutant: string | undefined): void {
+function deliverChange (state: IProfileState, name: OperatorName, mutant: string | undefined): void {
   const operator = state.operators[name]
-  if (operator.sent === null) return
-  const { sent, repeats } = operator
-  const done = swap(state, sent, mutant)
-  operator.sent = null
-  operator.repeats = false
-  if (!done && repeats && mutant !== 'conflict-is-refused') operator.doubt = sent
-  else settle(operator, sent, done ? 'accepted' : 'refused')
+  if (operator.sentEntry === null) return
+  const { sentEntry: sent, isRepeated: wasRepeated } = operator
+  const isSwapped = swapEntry(state, sent, mutant)
+  operator.sentEntry = null
+  operator.isRepeated = false
+  if (!isSwapped && wasRepeated && mutant !== 'conflict-is-refused') operator.uncertainEntry = sent
+  else recordAnswer(operator, sent, isSwapped ? 'accepted' : 'refused')
 }
 
-function fail (state: IProfileState, name: OperatorName, type: string, mutant: string | undefined): void {
+function failChange (state: IProfileState, name: OperatorName, type: string, mutant: string | undefined): void {
   const operator = state.operators[name]
-  const { sent } = operator
+  const { sentEntry: sent } = operator
   if (sent === null) return
   state.faults += 1
-  operator.sent = null
-  if (type === 'answer lost') swap(state, sent, mutant)
-  else operator.stray = sent
-  operator.doubt = sent
-  if (mutant === 'lost-is-refused') settle(operator, sent, 'refused')
-  if (mutant === 'lost-is-accepted') settle(operator, sent, 'accepted')
+  operator.sentEntry = null
+  if (type === 'answer lost') swapEntry(state, sent, mutant)
+  else operator.strayEntry = sent
+  operator.uncertainEntry = sent
+  if (mutant === 'lost-is-refused') recordAnswer(operator, sent, 'refused')
+  if (mutant === 'lost-is-accepted') recordAnswer(operator, sent, 'accepted')
 }
 
-function settle (operator: IOperatorState, entry: Entry, answer: Answer): void {
-  operator.told[entry.nonce] = answer
-  operator.doubt = null
+function recordAnswer (operator: IOperatorState, entry: Entry, answer: Answer): void {
+  operator.answers[entry.nonce] = answer
+  operator.uncertainEntry = null
 }
 
 /**
- * Reads back after a lost answer. Its own nonce: accepted. The revision it started from: still open, so it asks once
- * more with the same change. Another change with the revision that it wanted: refused, for certain. A later revision:
- * its change may have been in force and been followed by another, so the operator is told that the outcome is unknown.
+ * Reads the store after a lost answer. If the store holds the change's own nonce, the change was accepted. If the store
+ * still holds the base revision, the change may not have arrived, so the operator sends it once more. If another change
+ * has the wanted revision, the change was refused. If the revision is later, the change may have been in force and been
+ * replaced, so the operator is told that the outcome is unknown.
  */
 function readBack (state: IProfileState, name: OperatorName, mutant: string | undefined): void {
   const operator = state.operators[name]
-  const { doubt } = operator
-  if (doubt === null) return
-  if (state.store.nonce === doubt.nonce) settle(operator, doubt, 'accepted')
-  else if (state.store.revision < doubt.revision) {
-    operator.sent = doubt
-    operator.repeats = true
-    operator.doubt = null
+  const { uncertainEntry: uncertain } = operator
+  if (uncertain === null) return
+  if (state.store.nonce === uncertain.nonce) recordAnswer(operator, uncertain, 'accepted')
+  else if (state.store.revision < uncertain.revision) {
+    operator.sentEntry = uncertain
+    operator.isRepeated = true
+    operator.uncertainEntry = null
   } else {
-    const provable = state.store.revision === doubt.revision
-    settle(operator, doubt, provable || mutant === 'other-means-refused' ? 'refused' : 'unknown')
+    const isProvable = state.store.revision === uncertain.revision
+    recordAnswer(operator, uncertain, isProvable || mutant === 'other-means-refused' ? 'refused' : 'unknown')
   }
 }
 
-function hear (state: IProfileState, name: ProcessName, entry: Entry | null, mutant: string | undefined): void {
+function receiveEntry (state: IProfileState, name: ProcessName, entry: Entry | null, mutant: string | undefined): void {
   const own = state.replicas[name]
   if (entry === null) return
-  const heard = mutant === 'apply-any' ? entry : applied(own, entry)
-  if (own !== null && heard.revision < own.revision) state.reverted = true
-  state.replicas[name] = heard
+  const merged = mutant === 'apply-any' ? entry : mergeEntry(own, entry)
+  if (own !== null && merged.revision < own.revision) state.hasReverted = true
+  state.replicas[name] = merged
 }
 
-/** What the code's replica holds after it has heard of an entry. */
-function applied (own: Entry | null, entry: Entry): Entry {
+/** Returns the entry that the real replica holds after it has applied an entry to its own one. */
+function mergeEntry (own: Entry | null, entry: Entry): Entry {
   const replica = new ConfigReplica()
   for (const each of own === null ? [entry] : [own, entry]) replica.apply([{ ...each, kind: 'profile', name: PROFILE, changedAt: 0 }])
   const { revision, deleted, writer, nonce } = replica.get('profile', PROFILE) as IConfigEntry
@@ -143,14 +144,14 @@
 
 function operatorEvents (state: IProfileState, name: OperatorName): readonly string[] {
   const operator = state.operators[name]
-  const idle = operator.sent === null && operator.doubt === null
+  const isIdle = operator.sentEntry === null && operator.uncertainEntry === null
   const types: string[] = []
-  if (idle && operator.seen === null && operator.changes < MAX_CHANGES[name]) types.push('read')
-  if (idle && operator.seen !== null) types.push(...(name === 'x' ? ['put', 'delete'] : ['put']))
-  if (operator.sent !== null) types.push('arrives')
-  if (operator.sent !== null && state.faults < MAX_FAULTS) types.push('answer lost', 'late')
-  if (operator.doubt !== null) types.push('read back')
-  if (operator.stray !== null) types.push('stray arrives')
+  if (isIdle && operator.seenRevision === null && operator.changes < MAX_CHANGES[name]) types.push('read')
+  if (isIdle && operator.seenRevision !== null) types.push(...(name === 'x' ? ['put', 'delete'] : ['put']))
+  if (operator.sentEntry !== null) types.push('arrives')
+  if (operator.sentEntry !== null && state.faults < MAX_FAULTS) types.push('answer lost', 'late')
+  if (operator.uncertainEntry !== null) types.push('read back')
+  if (operator.strayEntry !== null) types.push('stray arrives')
   return types
 }
 
@@ -169,33 +170,33 @@
 
 function applyOperator (state: IProfileState, name: OperatorName, type: string, mutant: string | undefined): void {
   const operator = state.operators[name]
-  if (type === 'read') operator.seen = state.store.revision
-  if (type === 'put' || type === 'delete') change(state, name, type === 'delete')
-  if (type === 'arrives') arrive(state, name, mutant)
-  if (type === 'answer lost' || type === 'late') fail(state, name, type, mutant)
+  if (type === 'read') operator.seenRevision = state.store.revision
+  if (type === 'put' || type === 'delete') sendChange(state, name, type === 'delete')
+  if (type === 'arrives') deliverChange(state, name, mutant)
+  if (type === 'answer lost' || type === 'late') failChange(state, name, type, mutant)
   if (type === 'read back') readBack(state, name, mutant)
-  if (type === 'stray arrives' && operator.stray !== null) {
-    swap(state, operator.stray, mutant)
-    operator.stray = null
+  if (type === 'stray arrives' && operator.strayEntry !== null) {
+    swapEntry(state, operator.strayEntry, mutant)
+    operator.strayEntry = null
   }
 }
 
 function applyProcess (state: IProfileState, name: ProcessName, type: string, mutant: string | undefined): void {
-  if (type === 'watch') hear(state, name, state.store, mutant)
-  if (type === 'gossip') hear(state, name, state.replicas[otherThan(name)], mutant)
+  if (type === 'watch') receiveEntry(state, name, state.store, mutant)
+  if (type === 'gossip') receiveEntry(state, name, state.replicas[otherThan(name)], mutant)
   if (type === 'restart') {
     state.restarts += 1
     state.replicas[name] = null
   }
 }
 
-function saidWrongly (state: IProfileState, answer: Answer, wasInForce: boolean): boolean {
-  return OPERATORS.some((name) => Object.entries(state.operators[name].told).some(([nonce, told]) => {
-    return told === answer && state.history.some((entry) => entry.nonce === nonce) === wasInForce
+function hasFalseAnswer (state: IProfileState, answer: Answer, wasInForce: boolean): boolean {
+  return OPERATORS.some((name) => Object.entries(state.operators[name].answers).some(([nonce, given]) => {
+    return given === answer && state.history.some((entry) => entry.nonce === nonce) === wasInForce
   }))
 }
 
-/** Two changes under one revision, or a revision that isn't one above the last. */
+/** Whether two changes have the same revision, or a revision is not one above the previous one. */
 function hasGap (state: IProfileState): boolean {
   return state.history.some((entry, index) => entry.revision !== index + FIRST.revision)
 }
@@ -227,7 +228,7 @@
     history: [FIRST],
     operators: { x: newOperator(), y: newOperator() },
     replicas: { p: FIRST, q: FIRST },
-    reverted: false,
+    hasReverted: false,
     faults: 0,
     restarts: 0
   }),
@@ -239,11 +240,11 @@
     if (event.by === 'x' || event.by === 'y') applyOperator(state, event.by, event.type, mutant)
     else applyProcess(state, event.by as ProcessName, event.type, mutant)
   },
-  broken: (state) => [
-    ...(saidWrongly(state, 'accepted', false) ? ['accepted'] : []),
-    ...(saidWrongly(state, 'refused', true) ? ['refused'] : []),
+  violatedProperties: (state) => [
+    ...(hasFalseAnswer(state, 'accepted', false) ? ['accepted'] : []),
+    ...(hasFalseAnswer(state, 'refused', true) ? ['refused'] : []),
     ...(hasGap(state) ? ['revisions'] : []),
-    ...(state.reverted ? ['neverReverts'] : [])
+    ...(state.hasReverted ? ['neverReverts'] : [])
   ],
-  goal: (state) => PROCESSES.every((name) => state.replicas[name]?.nonce === state.store.nonce)
+  isGoal: (state) => PROCESSES.every((name) => state.replicas[name]?.nonce === state.store.nonce)
 }
--- a/spec/Specs.test.ts
+++ b/spec/Specs.test.ts
@@ -1,8 +1,8 @@
 /**
- * Every specification holds, and each mutant breaks the property that it names.
+ * Every specification holds, and each mutant violates the property that it names.
  *
- * Exploring takes seconds without a pause. Each test lets other work go first, or nobody would hear of the earlier ones'
- * ends before the last: beside a busy machine the runner took the file for hung.
+ * An exploration blocks the event loop for seconds. Each test first yields to the event loop, so that the results of the
+ * earlier tests reach the test runner. Without this, on a busy machine, the runner considers the file hung.
  */
 
 import test from 'ava'
@@ -11,7 +11,7 @@
 import { specs } from './specs.js'
 
 for (const spec of specs) {
-  test(`${spec.name}: all reachable states keep the properties`, async (t) => {
+  test(`${spec.name}: all reachable states satisfy the properties`, async (t) => {
     await setImmediate()
     const result = explore(spec)
     t.is(result.violation, undefined)
@@ -19,7 +19,7 @@
   })
 
   for (const [mutant, property] of Object.entries(spec.mutants)) {
-    test(`${spec.name}: without its safeguard (${mutant}) it breaks "${property}"`, async (t) => {
+    test(`${spec.name}: the mutant ${mutant} violates "${property}"`, async (t) => {
       await setImmediate()
       const { violation } = explore(spec, mutant)
       t.is(violation?.property, property)
@@ -28,7 +28,7 @@
   }
 
   test(`${spec.name}: each property has a mutant`, (t) => {
-    const broken = new Set(Object.values(spec.mutants))
-    t.deepEqual([...broken].sort(), Object.keys(spec.properties).sort())
+    const violated = new Set(Object.values(spec.mutants))
+    t.deepEqual([...violated].sort(), Object.keys(spec.properties).sort())
   })
 }
--- a/spec/run.ts
+++ b/spec/run.ts
@@ -1,6 +1,6 @@
 /**
- * Explores every specification and every mutant; one JSON line each. Fails if a specification has a violation or a
- * mutant none.
+ * Explores every specification and every mutant and prints one JSON line for each. Fails if a specification has a
+ * violation, or if a mutant does not violate the property that it names. An argument selects one specification by name.
  */
 
 import { explore } from './Model.js'
@@ -21,7 +21,7 @@
   return violation?.property === spec.mutants[mutant]
 }
 
-const only = process.argv[2]
-const chosen = specs.filter((spec) => only === undefined || spec.name === only)
-const good = chosen.flatMap((spec) => [runSpec(spec), ...Object.keys(spec.mutants).map((mutant) => runMutant(spec, mutant))])
-process.exitCode = good.length > 0 && good.every(Boolean) ? 0 : 1
+const onlyName = process.argv[2]
+const selected = specs.filter((spec) => onlyName === undefined || spec.name === onlyName)
+const areAsExpected = selected.flatMap((spec) => [runSpec(spec), ...Object.keys(spec.mutants).map((mutant) => runMutant(spec, mutant))])
+process.exitCode = areAsExpected.length > 0 && areAsExpected.every(Boolean) ? 0 : 1
--- a/spec/specs.ts
+++ b/spec/specs.ts
@@ -1,5 +1,5 @@
 /**
- * All specifications.
+ * The list of all specifications.
  */
 
 import { cellSpec } from './CellSpec.js'
