--- a/bench/cellLoad.test.ts
+++ b/bench/cellLoad.test.ts
@@ -1,22 +1,22 @@
 /**
- * What callers of each queue get in a cell that is four fifths full, half of it wide all-at-once work.
+ * The share of each queue's jobs that is done in time in a cell that is four fifths full, half of it with wide all-at-once jobs.
  */
 
 import test from 'ava'
-import { play } from './cellLoad.js'
+import { simulateLoad } from './cellLoad.js'
 
 import type { ExecutionContext } from 'ava'
 
 const HOSTS = 200
-const FOR_MS = 20_000
-/** Nine in ten of each queue's jobs. */
-const AIM = 0.9
+const DURATION_MS = 20_000
+/** The target is nine in ten of each queue's jobs. */
+const MIN_IN_TIME_SHARE = 0.9
 
-// Without room held the wide jobs are late; with room held for those that are late already, the work behind them is.
+// Without reserved capacity, wide jobs are late. If capacity is also reserved for jobs that are already late, the jobs behind them are late.
 for (const seed of [1, 2, 3]) {
-  test.serial(`nine in ten jobs of each queue are done in time in a busy cell (seed ${seed})`, async (t) => { await inTime(t, seed) })
+  test.serial(`nine in ten jobs of each queue are done in time in a busy cell (seed ${seed})`, async (t) => { await checkInTime(t, seed) })
 }
 
-async function inTime (t: ExecutionContext, seed: number): Promise<void> {
-  for (const { queue, inTime } of await play(HOSTS, seed, FOR_MS)) t.true(inTime >= AIM, `${queue}: ${inTime} in time`)
+async function checkInTime (t: ExecutionContext, seed: number): Promise<void> {
+  for (const { queue, inTime } of await simulateLoad(HOSTS, seed, DURATION_MS)) t.true(inTime >= MIN_IN_TIME_SHARE, `${queue}: ${inTime} in time`)
 }
--- a/bench/cellLoad.ts
+++ b/bench/cellLoad.ts
@@ -1,6 +1,6 @@
 /**
- * The owner's decisions under a mixed load, on simulated hosts and a clock of its own: which share of each queue's jobs is done in time, and
- * what they waited for. `npm run bench -- cellLoad [--hosts N] [--seed N] [--seconds N]`.
+ * Measures the cell owner's decisions under a mixed load, with simulated hosts and a simulated clock: the share of each queue's
+ * jobs that is done in time, and how late jobs are. `npm run bench -- cellLoad [--hosts N] [--seed N] [--seconds N] [--factor N]`.
  */
 
 import yargs from 'yargs'
@@ -13,7 +13,7 @@
 import type { IAdviceRequest, IRunRef, IStepSpec } from '../src/common/cell/Types.js'
 import type { IRandom } from '../src/common/Types.js'
 
-/** One kind of job. Its rates are those of a cell of `REFERENCE_HOSTS` hosts. */
+/** One kind of job. Its rate applies to a cell of `REFERENCE_HOSTS` hosts. */
 interface ILoad {
   readonly queue: Partial<QueueTerms> & { readonly name: string }
   readonly jobsPerS: number
@@ -22,7 +22,7 @@
   readonly workMs: number
   readonly cpuMillicores: number
   readonly memoryMb: number
-  /** How far estimates are off, as the deviation of their logarithm. */
+  /** The error of the estimates, as the standard deviation of their logarithm. */
   readonly estimateDeviation: number
   readonly gangShare: number
   /** The share of hosts that the advice service allows for a step. */
@@ -31,7 +31,7 @@
 
 const REFERENCE_HOSTS = 200
 const HOST = { cpuMillicores: 20_000, memoryMb: 40_000 }
-const HOSTS_A_MACHINE = 6
+const HOSTS_PER_MACHINE = 6
 const MIN_MACHINES = 8
 const WARM_UP_MS = 12_000
 const TICK_MS = 10
@@ -40,9 +40,9 @@
 const WIDTH_DEVIATION = 0.8
 const CPU_DEVIATION = 0.4
 const MAX_WIDTH_FACTOR = 6
-const BASIS = 0x7fffffff
+const MAX_HASH = 0x7fffffff
 
-/** Four fifths of the cell: half of it wide all-at-once work, a third batch work, the rest short and urgent. */
+/** Loads that fill four fifths of the cell: half of the work is wide all-at-once jobs, a third is batch jobs, the rest is short and urgent. */
 const LOADS: readonly ILoad[] = [
   {
     queue: { name: 'settlements', priority: 1, maxAttempts: 3, stretch: 2, targetMs: 2000, advice: { baseMs: 500, perHostMs: 5, validMs: 2000 } },
@@ -82,10 +82,10 @@
   }
 ]
 
-interface IPlayed {
+interface ISubmittedJob {
   readonly job: Job
   readonly load: ILoad
-  /** When a caller would count it as late: by its true work. */
+  /** The time from which the job counts as late, computed from its true run time. */
   readonly dueMs: number
 }
 
@@ -95,102 +95,108 @@
     .option('hosts', { type: 'number', default: REFERENCE_HOSTS })
     .option('seed', { type: 'number', default: 1 })
     .option('seconds', { type: 'number', default: 40 })
-    .option('factor', { type: 'number', default: 1, describe: 'times the usual rate' })
+    .option('factor', { type: 'number', default: 1, describe: 'multiplies the rate of all loads' })
     .parseAsync()
-  const rows = await play(args.hosts, args.seed, args.seconds * MS_PER_S, args.factor)
+  const rows = await simulateLoad(args.hosts, args.seed, args.seconds * MS_PER_S, args.factor)
   for (const line of tableLines(rows as unknown as readonly Row[])) process.stdout.write(`${line}\n`)
 }
 
-/** What became of the jobs of one queue that came after the warm-up. */
+/** The results of one queue, for the jobs that were submitted after the warm-up. */
 export interface ILoadRow {
   readonly queue: string
   readonly jobs: number
   readonly inTime: number
-  /** The share of the work, in core-seconds, that was done in time: wide jobs count for what they are. */
+  /** The share of the work, in core-seconds, that was done in time, so that a wide job counts by its size. */
   readonly workInTime: number
-  /** By how much half of the jobs, nine in ten and 98 in a hundred were later than their objective at most, in s. */
+  /** The percentiles of the delay of jobs after their due time, in s: half, nine in ten and 98 in a hundred of the jobs are at most this late. */
   readonly slackP50S: number
   readonly slackP90S: number
   readonly slackP98S: number
 }
 
-export async function play (hosts: number, seed: number, forMs: number, factor = 1): Promise<readonly ILoadRow[]> {
+export async function simulateLoad (hosts: number, seed: number, durationMs: number, factor = 1): Promise<readonly ILoadRow[]> {
   const random = new SeededRandom(seed)
   const workMs = new Map<string, number>()
-  const loadOf = new Map<string, ILoad>()
+  const loadByJob = new Map<string, ILoad>()
   const cell = new SimulatedCell({
     hosts,
-    adviceMachines: Math.max(MIN_MACHINES, Math.round(hosts / HOSTS_A_MACHINE)),
+    adviceMachines: Math.max(MIN_MACHINES, Math.round(hosts / HOSTS_PER_MACHINE)),
     host: { ...HOST, workMs: ({ jobId, step }: IRunRef) => workMs.get(`${jobId}.${step}`) ?? MS_PER_S },
-    allows: (hostId, { jobId, step }: IAdviceRequest) => hash(`${hostId} ${jobId} ${step}`) < (loadOf.get(jobId)?.allowedShare ?? 1),
+    allows: (hostId, { jobId, step }: IAdviceRequest) => hashToUnit(`${hostId} ${jobId} ${step}`) < (loadByJob.get(jobId)?.allowedShare ?? 1),
     adviceMs: ({ jobId, hostIds }) => {
-      const advice = loadOf.get(jobId)?.queue.advice
+      const advice = loadByJob.get(jobId)?.queue.advice
       return advice === undefined ? 0 : advice.baseMs + advice.perHostMs * hostIds.length
     }
   })
-  const played: IPlayed[] = []
+  const submitted: ISubmittedJob[] = []
   const finishedAtMs = new Map<Job, number>()
-  const open = new Set<Job>()
-  const untilMs = WARM_UP_MS + forMs
+  const openJobs = new Set<Job>()
+  const untilMs = WARM_UP_MS + durationMs
   while (cell.clock.nowMs() < untilMs + WARM_UP_MS * 2) {
     for (const load of LOADS) {
-      const perTick = load.jobsPerS * factor * hosts / REFERENCE_HOSTS * TICK_MS / MS_PER_S
-      if (random.next() < perTick) submit(load)
+      const jobsPerTick = load.jobsPerS * factor * hosts / REFERENCE_HOSTS * TICK_MS / MS_PER_S
+      if (random.next() < jobsPerTick) submit(load)
     }
     await cell.run(TICK_MS)
-    for (const job of open) {
+    for (const job of openJobs) {
       if (job.storedPhase !== 'completed') continue
       finishedAtMs.set(job, cell.clock.nowMs())
-      open.delete(job)
+      openJobs.delete(job)
     }
   }
   return LOADS.map((load) => {
-    const jobs = played.filter((each) => each.load === load && each.job.receivedAtMs >= WARM_UP_MS && each.job.receivedAtMs < untilMs)
+    const jobs = submitted.filter((each) => each.load === load && each.job.receivedAtMs >= WARM_UP_MS && each.job.receivedAtMs < untilMs)
     const lateMs = jobs.map(({ job, dueMs }) => (finishedAtMs.get(job) ?? Infinity) - dueMs).sort((a, b) => a - b)
-    const at = (share: number): number => Math.round((lateMs[Math.floor(lateMs.length * share)] ?? Infinity) / MS_PER_S * 10) / 10
+    const slackS = (share: number): number => Math.round((lateMs[Math.floor(lateMs.length * share)] ?? Infinity) / MS_PER_S * 10) / 10
     const inTime = lateMs.filter((ms) => ms <= 0).length
-    const work = (each: readonly IPlayed[]): number => each.reduce((sum, { job }) => sum + job.coreSeconds, 0)
-    const workInTime = work(jobs.filter(({ job, dueMs }) => (finishedAtMs.get(job) ?? Infinity) <= dueMs)) / work(jobs)
+    const coreSecondsOf = (each: readonly ISubmittedJob[]): number => each.reduce((sum, { job }) => sum + job.coreSeconds, 0)
+    const workInTime = coreSecondsOf(jobs.filter(({ job, dueMs }) => (finishedAtMs.get(job) ?? Infinity) <= dueMs)) / coreSecondsOf(jobs)
     return {
-      queue: load.queue.name, jobs: jobs.length, inTime: inTime / jobs.length, workInTime, slackP50S: at(0.5), slackP90S: at(0.9), slackP98S: at(0.98)
+      queue: load.queue.name,
+      jobs: jobs.length,
+      inTime: inTime / jobs.length,
+      workInTime,
+      slackP50S: slackS(0.5),
+      slackP90S: slackS(0.9),
+      slackP98S: slackS(0.98)
     }
   })
 
   function submit (load: ILoad): void {
     const steps: Partial<IStepSpec>[] = []
-    const work: number[] = []
+    const workMsByStep: number[] = []
     const stepCount = random.next() < load.steps - 1 ? 2 : 1
     for (let number = 0; number < stepCount; number += 1) {
-      work.push(load.workMs * deviate(random, WORK_DEVIATION))
+      workMsByStep.push(load.workMs * logNormalFactor(random, WORK_DEVIATION))
       steps.push({
-        count: Math.max(1, Math.min(Math.round(load.tasks * deviate(random, WIDTH_DEVIATION)), load.tasks * MAX_WIDTH_FACTOR)),
-        cpuMillicores: Math.min(HOST.cpuMillicores / 2, Math.round(load.cpuMillicores * deviate(random, CPU_DEVIATION))),
-        memoryMb: Math.min(HOST.memoryMb / 2, Math.round(load.memoryMb * deviate(random, WORK_DEVIATION))),
-        estimateMs: Math.round((work[number] ?? 0) * deviate(random, load.estimateDeviation)),
+        count: Math.max(1, Math.min(Math.round(load.tasks * logNormalFactor(random, WIDTH_DEVIATION)), load.tasks * MAX_WIDTH_FACTOR)),
+        cpuMillicores: Math.min(HOST.cpuMillicores / 2, Math.round(load.cpuMillicores * logNormalFactor(random, CPU_DEVIATION))),
+        memoryMb: Math.min(HOST.memoryMb / 2, Math.round(load.memoryMb * logNormalFactor(random, WORK_DEVIATION))),
+        estimateMs: Math.round((workMsByStep[number] ?? 0) * logNormalFactor(random, load.estimateDeviation)),
         gang: random.next() < load.gangShare,
         after: number === 0 ? [] : [number - 1]
       })
     }
     const job = cell.submit(steps, load.queue)
     const { jobId } = job.spec
-    work.forEach((ms, number) => { workMs.set(`${jobId}.${number}`, ms) })
-    loadOf.set(jobId, load)
-    const chainMs = work.reduce((sum, ms) => sum + ms + (load.queue.advice?.baseMs ?? 0), 0)
-    played.push({ job, load, dueMs: job.receivedAtMs + chainMs * (load.queue.stretch ?? 1) + (load.queue.targetMs ?? 0) })
-    open.add(job)
+    workMsByStep.forEach((ms, number) => { workMs.set(`${jobId}.${number}`, ms) })
+    loadByJob.set(jobId, load)
+    const chainMs = workMsByStep.reduce((sum, ms) => sum + ms + (load.queue.advice?.baseMs ?? 0), 0)
+    submitted.push({ job, load, dueMs: job.receivedAtMs + chainMs * (load.queue.stretch ?? 1) + (load.queue.targetMs ?? 0) })
+    openJobs.add(job)
   }
 }
 
-/** A factor with this deviation of its logarithm and a mean of one. */
-function deviate (random: IRandom, deviation: number): number {
+/** Draws a log-normal factor with a mean of one; `deviation` is the standard deviation of its logarithm. */
+function logNormalFactor (random: IRandom, deviation: number): number {
   const normal = Math.sqrt(-2 * Math.log(1 - random.next())) * Math.cos(2 * Math.PI * random.next())
   return Math.exp(normal * deviation - deviation * deviation / 2)
 }
 
-/** The same number between 0 and 1 for the same text. */
-function hash (text: string): number {
+/** Hashes a text to a number between 0 and 1. */
+function hashToUnit (text: string): number {
   let value = 17
   for (let index = 0; index < text.length; index += 1) value = Math.imul(value ^ text.charCodeAt(index), 0x01000193)
   value = Math.imul(value ^ (value >>> 15), 0x2c1b3c6d)
-  return ((value ^ (value >>> 12)) & BASIS) / BASIS
+  return ((value ^ (value >>> 12)) & MAX_HASH) / MAX_HASH
 }
--- a/bench/controller.ts
+++ b/bench/controller.ts
@@ -1,6 +1,7 @@
 /**
- * What the owner of a cell costs: one controller beside many stand-in hosts, a steady stream of jobs, processor time from its
- * metrics. `npm run bench -- controller [--hosts N] [--perSecond N] [--seconds N]`; `--profile` leaves a processor profile in the working folder.
+ * Measures the cost of a cell's owner: one controller with many stand-in hosts and a constant rate of jobs. The processor time is
+ * read from the controller's metrics. `npm run bench -- controller [--hosts N] [--perSecond N] [--seconds N]`; `--profile` writes a
+ * processor profile to the working directory.
  */
 
 import { request } from 'undici'
@@ -31,12 +32,12 @@
   const cell = new ControllerCell(platform, MAX_HOLD_MS, args.profile ? ['--cpu-prof'] : [])
   await cell.start(1)
   const callers = new Callers(cell.controllers, judge, new SeededRandom(3))
-  const calling = setInterval(() => { callers.submit() }, MS_PER_S / args.perSecond)
+  const submitTimer = setInterval(() => { callers.submit() }, MS_PER_S / args.perSecond)
   await pause(WARM_UP_MS)
-  const before = await readings(cell, judge)
+  const before = await takeReading(cell, judge)
   await pause(args.seconds * MS_PER_S)
-  const after = await readings(cell, judge)
-  clearInterval(calling)
+  const after = await takeReading(cell, judge)
+  clearInterval(submitTimer)
   const cores = (after.processorSeconds - before.processorSeconds) / args.seconds
   const startsPerSecond = (after.starts - before.starts) / args.seconds
   process.stdout.write(`${args.hosts} hosts, ${args.perSecond} jobs/s, ${startsPerSecond.toFixed(0)} starts/s: ${cores.toFixed(3)} cores, ` +
@@ -48,7 +49,7 @@
   await platform.close()
 }
 
-async function readings (cell: ControllerCell, judge: Judge) {
+async function takeReading (cell: ControllerCell, judge: Judge) {
   const text = await (await request(`${cell.controllers[0]?.urls?.metrics}/metrics`)).body.text()
   const value = (name: string): number => Number(new RegExp(`^jackdawreel_${name} ([0-9.]+)`, 'm').exec(text)?.[1] ?? 0)
   return { processorSeconds: value('processor_seconds'), residentBytes: value('resident_bytes'), storeCalls: value('store_calls'), starts: judge.starts }
--- a/bench/decisions.ts
+++ b/bench/decisions.ts
@@ -1,5 +1,5 @@
 /**
- * Measures the decisions: one JSON line per scenario and policy, all policies on the same arrivals.
+ * Measures scheduling decisions and prints one JSON line per scenario and policy. All policies get the same arrivals.
  *
  * `npm run bench -- decisions [--only PART_OF_NAME] [--policy NAME] [--seed NUMBER]`
  */
@@ -19,7 +19,7 @@
 
 type EngineFactory = (clock: VirtualClock, scenario: IScenario) => IDecisionEngine
 
-/** The threshold's weight: the longest queue per host that it lets build up. */
+/** The weight of the threshold policy, which is the longest queue per host that it allows. */
 const THRESHOLD_WEIGHT = 16
 
 const POLICIES: Readonly<Record<string, EngineFactory>> = {
@@ -31,22 +31,22 @@
 }
 
 export async function run (args: readonly string[]): Promise<void> {
-  const only = optionOf(args, '--only') ?? ''
+  const nameFilter = optionOf(args, '--only') ?? ''
   const policy = optionOf(args, '--policy')
   const seed = Number(optionOf(args, '--seed') ?? 1)
   for (const create of [...REQUEST_SCENARIOS, ...TASK_SCENARIOS]) {
     const scenario = create(seed)
-    if (!scenario.name.includes(only)) continue
+    if (!scenario.name.includes(nameFilter)) continue
     for (const [name, factory] of Object.entries(POLICIES)) {
-      if (policy === undefined || policy === name) runOne(scenario, name, factory)
+      if (policy === undefined || policy === name) runScenario(scenario, name, factory)
     }
   }
-  if ('cancel-wave-real-time'.includes(only)) measureCancelWave(seed)
-  if ('many-callers'.includes(only)) measureManyCallers(seed)
-  if ('speed'.includes(only)) measureSpeed(seed)
+  if ('cancel-wave-real-time'.includes(nameFilter)) measureCancelWave(seed)
+  if ('many-callers'.includes(nameFilter)) measureManyCallers(seed)
+  if ('speed'.includes(nameFilter)) measureSpeed(seed)
 }
 
-function runOne (scenario: IScenario, policy: string, factory: EngineFactory): void {
+function runScenario (scenario: IScenario, policy: string, factory: EngineFactory): void {
   const clock = new VirtualClock()
   const summary = new VirtualRun(scenario, factory(clock, scenario), clock).run()
   console.log(JSON.stringify({ scenario: scenario.name, policy, ...summary }))
--- a/bench/decisions/Arrivals.ts
+++ b/bench/decisions/Arrivals.ts
@@ -1,5 +1,5 @@
 /**
- * Work that arrives as it does in real clusters: Poisson arrivals, log-normal run times, sizes with a long tail.
+ * Generates work as it arrives in real clusters: Poisson arrivals, log-normal run times, sizes with a long tail.
  */
 
 import type { IProfile } from '../../src/common/config/Types.js'
@@ -31,7 +31,7 @@
   return { ...PROFILE, ...changes }
 }
 
-/** Hosts in three regions, eight to a rack, as at today's size. */
+/** Creates hosts in three regions with eight hosts per rack, as at today's size. */
 export function hostsOf (count: number, capacity: IResources): readonly IEngineHost[] {
   return Array.from({ length: count }, (_, i) => ({
     hostId: `host-${i}`,
@@ -47,20 +47,20 @@
   return -mean * Math.log(1 - random.next())
 }
 
-/** Log-normal with this mean; `sigma` 1 gives a p99 of about six times the mean. */
+/** Draws a log-normal value with this mean. A `sigma` of 1 gives a p99 of about six times the mean. */
 export function logNormal (random: IRandom, mean: number, sigma: number): number {
   const radius = Math.sqrt(-2 * Math.log(1 - random.next()))
   const normal = radius * Math.cos(2 * Math.PI * random.next())
   return mean * Math.exp(sigma * normal - sigma * sigma / 2)
 }
 
-/** One of `values`, each with its weight. */
-export function pick<T> (random: IRandom, values: readonly (readonly [T, number])[]): T {
+/** Draws one of `values` with a probability in proportion to its weight. */
+export function pickWeighted<T> (random: IRandom, values: readonly (readonly [T, number])[]): T {
   const total = values.reduce((sum, [, weight]) => sum + weight, 0)
-  let left = random.next() * total
+  let remaining = random.next() * total
   for (const [value, weight] of values) {
-    left -= weight
-    if (left < 0) return value
+    remaining -= weight
+    if (remaining < 0) return value
   }
   return (values[values.length - 1] as readonly [T, number])[0]
 }
@@ -74,10 +74,10 @@
   readonly untilMs: number
   readonly runMs: (random: IRandom) => number
   readonly resources?: (random: IRandom) => IResources
-  /** What is declared, from what is true. */
+  /** Derives the declared run time from the true one; absent if they are equal. */
   readonly declaredRunMs?: (runMs: number, random: IRandom) => number
   readonly usage?: (declared: IResources, random: IRandom) => IResources
-  /** Tasks of each arrival, for all-at-once jobs. */
+  /** The number of tasks of each arrival, for all-at-once jobs. */
   readonly groupSize?: (random: IRandom) => number
   /** Requests have a deadline, tasks have none. */
   readonly hasDeadline: boolean
@@ -94,7 +94,7 @@
   }
 }
 
-export function merge (...streams: readonly (readonly IArrival[])[]): readonly IArrival[] {
+export function mergeArrivals (...streams: readonly (readonly IArrival[])[]): readonly IArrival[] {
   return streams.flat().sort((a, b) => a.atMs - b.atMs)
 }
 
--- a/bench/decisions/Baselines.ts
+++ b/bench/decisions/Baselines.ts
@@ -1,5 +1,5 @@
 /**
- * The policies that ours is measured against, as small changes to the naive engine.
+ * The baseline policies that the decision engine is compared with, each a small change to the naive engine.
  */
 
 import { NaiveEngine } from '../../src/common/policy/NaiveEngine.js'
@@ -9,16 +9,16 @@
 import type { INaiveHost } from '../../src/common/policy/NaiveEngine.js'
 import type { AdmitDecision, AttemptEnd, EngineDecision, IEngineHost, IWorkItem } from '../../src/common/policy/Types.js'
 
-const RANK = { urgent: 0, normal: 1, patient: 2 }
+const PRIORITY_RANK = { urgent: 0, normal: 1, patient: 2 }
 
-/** Urgent before normal before patient, whatever the cost to those behind. */
+/** Places urgent work before normal work and normal work before patient work, without a floor share for lower classes. */
 export class StrictPriorityEngine extends NaiveEngine {
   protected override _rankOf (item: IWorkItem): number {
-    return RANK[item.profile.priorityClass]
+    return PRIORITY_RANK[item.profile.priorityClass]
   }
 }
 
-/** First come, first served on any host with room, drawn at random. */
+/** First come, first served, on a random host among those with free capacity. */
 export class RandomPlacingEngine extends NaiveEngine {
   public constructor (clock: IClock, private readonly _random: IRandom) {
     super(clock)
@@ -30,10 +30,10 @@
   }
 }
 
-/** The length of a slot in which the admission's virtual queue is updated. */
+/** The interval at which the virtual queues of the admission are updated. */
 const SLOT_MS = 100
 
-interface IHostLine {
+interface IHostQueue {
   readonly host: IEngineHost
   readonly used: ReturnType<typeof zeroResources>
   readonly items: IWorkItem[]
@@ -41,15 +41,15 @@
 
 /**
  * Threshold admission with join-the-shortest-queue, by equations 26, 29 and 31 of the paper on power and performance
- * in SaaS clouds (one server per host, unit cost per request, `weight` for V): one queue per host, and an arrival is denied
- * while the shortest is longer than the application's virtual queue.
+ * in SaaS clouds, with one server per host, unit cost per request, and `weight` for V. Each host has one queue, and an arrival
+ * is refused while the shortest queue is longer than the virtual queue of the arrival's service.
  */
 export class ThresholdEngine extends NaiveEngine {
-  private readonly _hostLines = new Map<string, IHostLine>()
-  private readonly _started = new Map<string, { readonly line: IHostLine, readonly item: IWorkItem }>()
-  private readonly _virtual = new Map<string, number>()
+  private readonly _hostQueues = new Map<string, IHostQueue>()
+  private readonly _started = new Map<string, { readonly queue: IHostQueue, readonly item: IWorkItem }>()
+  private readonly _virtualLengths = new Map<string, number>()
   private readonly _decisions: EngineDecision[] = []
-  private _slot = 0
+  private _lastSlot = 0
 
   public constructor (private readonly _time: IClock, private readonly _weight: number) {
     super(_time)
@@ -57,18 +57,18 @@
 
   public override putHost (host: IEngineHost): void {
     super.putHost(host)
-    this._hostLines.set(host.hostId, { host, used: zeroResources(), items: [] })
+    this._hostQueues.set(host.hostId, { host, used: zeroResources(), items: [] })
   }
 
   public override admit (item: IWorkItem): AdmitDecision {
-    this._startSlots()
-    const line = this._shortestFor(item)
-    if (line === undefined) return { admitted: false, reason: 'infeasible', detail: 'no host is large enough', retryAfterMs: SLOT_MS }
-    const virtual = this._virtual.get(item.service) ?? this._weight
-    if (line.items.length > virtual) return { admitted: false, reason: 'overloaded', detail: 'above the threshold', retryAfterMs: 1_000 }
-    this._virtual.set(item.service, Math.max(virtual - 1, 0))
-    line.items.push(item)
-    this._startFirst(line)
+    this._updateVirtualQueues()
+    const queue = this._findShortestQueue(item)
+    if (queue === undefined) return { admitted: false, reason: 'infeasible', detail: 'no host is large enough', retryAfterMs: SLOT_MS }
+    const virtualLength = this._virtualLengths.get(item.service) ?? this._weight
+    if (queue.items.length > virtualLength) return { admitted: false, reason: 'overloaded', detail: 'above the threshold', retryAfterMs: 1_000 }
+    this._virtualLengths.set(item.service, Math.max(virtualLength - 1, 0))
+    queue.items.push(item)
+    this._startQueued(queue)
     return { admitted: true, expectedWaitMs: 0 }
   }
 
@@ -88,45 +88,45 @@
     const started = this._started.get(itemId)
     if (started === undefined) return
     this._started.delete(itemId)
-    subtractFrom(started.line.used, started.item.resources)
-    this._startFirst(started.line)
+    subtractFrom(started.queue.used, started.item.resources)
+    this._startQueued(started.queue)
   }
 
-  private _startFirst (line: IHostLine): void {
-    for (let item = line.items[0]; item !== undefined && fits(item.resources, difference(line.host.capacity, line.used)); item = line.items[0]) {
-      line.items.shift()
+  private _startQueued (queue: IHostQueue): void {
+    for (let item = queue.items[0]; item !== undefined && fits(item.resources, difference(queue.host.capacity, queue.used)); item = queue.items[0]) {
+      queue.items.shift()
       if (item.deadlineAtMs <= this._time.nowMs()) {
         this._decisions.push({ type: 'giveUp', item, reason: 'deadline', retryAfterMs: 1_000 })
         continue
       }
-      addInto(line.used, item.resources)
-      this._started.set(item.id, { line, item })
-      this._decisions.push({ type: 'place', item, hostId: line.host.hostId, waitMs: this._time.nowMs() - item.arrivedAtMs })
+      addInto(queue.used, item.resources)
+      this._started.set(item.id, { queue, item })
+      this._decisions.push({ type: 'place', item, hostId: queue.host.hostId, waitMs: this._time.nowMs() - item.arrivedAtMs })
     }
   }
 
-  private _shortestFor (item: IWorkItem): IHostLine | undefined {
-    let best: IHostLine | undefined
-    let bestLength = Infinity
-    for (const line of this._hostLines.values()) {
-      const length = line.items.length + line.used.cores / line.host.capacity.cores
-      if (length >= bestLength || !fits(item.resources, line.host.capacity)) continue
-      best = line
-      bestLength = length
+  private _findShortestQueue (item: IWorkItem): IHostQueue | undefined {
+    let shortest: IHostQueue | undefined
+    let shortestLength = Infinity
+    for (const queue of this._hostQueues.values()) {
+      const length = queue.items.length + queue.used.cores / queue.host.capacity.cores
+      if (length >= shortestLength || !fits(item.resources, queue.host.capacity)) continue
+      shortest = queue
+      shortestLength = length
     }
-    return best
+    return shortest
   }
 
-  /** Equation 26 with unit cost: the auxiliary rate falls as the virtual queue grows. */
-  private _startSlots (): void {
+  /** Adds the auxiliary rate to the virtual queues once per slot. By equation 26 with unit cost, the rate falls as the queue grows. */
+  private _updateVirtualQueues (): void {
     const slot = Math.floor(this._time.nowMs() / SLOT_MS)
-    for (; this._slot < slot; this._slot++) {
-      for (const [service, virtual] of this._virtual) this._virtual.set(service, virtual + this._auxiliaryRate(virtual))
+    for (; this._lastSlot < slot; this._lastSlot++) {
+      for (const [service, length] of this._virtualLengths) this._virtualLengths.set(service, length + this._auxiliaryRate(length))
     }
   }
 
-  private _auxiliaryRate (virtual: number): number {
-    if (virtual > this._weight) return 0
-    return Math.min(this._weight / Math.max(virtual, 1e-3) - 1, this._weight)
+  private _auxiliaryRate (virtualLength: number): number {
+    if (virtualLength > this._weight) return 0
+    return Math.min(this._weight / Math.max(virtualLength, 1e-3) - 1, this._weight)
   }
 }
--- a/bench/decisions/LoadedEngine.ts
+++ b/bench/decisions/LoadedEngine.ts
@@ -1,5 +1,5 @@
 /**
- * A decision engine that is filled with running work and kept full: one item ends, another one comes.
+ * A decision engine that is filled with running work and kept full: whenever an item ends, another one arrives.
  */
 
 import { DecisionEngine } from '../../src/common/policy/DecisionEngine.js'
@@ -12,8 +12,8 @@
 const STEP_MS = 0.1
 const RUN_MS = 20_000
 
-/** Makes the item of this number; large ones are for the queue. */
-export type ItemMaker = (number: number, isLarge: boolean, nowMs: number) => IWorkItem
+/** Creates the item with this number. Large items are for the queue. */
+export type ItemFactory = (number: number, isLarge: boolean, nowMs: number) => IWorkItem
 
 const PROFILES = [
   profileOf({ name: 'urgent', priorityClass: 'urgent' }),
@@ -21,7 +21,7 @@
   profileOf({ name: 'patient', priorityClass: 'patient', floorShare: 0.1 })
 ]
 
-/** A task of `cores` and as many GiB, spread over profiles, callers, services and `teams` teams by its number. */
+/** Creates a task of `cores` cores and as many GiB. Its number determines its profile, caller, service and one of `teams` teams. */
 export function taskItem (number: number, cores: number, teams: number, nowMs: number): IWorkItem {
   return {
     id: `item-${number}`,
@@ -41,9 +41,9 @@
   private readonly _clock = new VirtualClock()
   private readonly _engine: DecisionEngine
   private readonly _running: string[] = []
-  private _items = 0
+  private _itemCount = 0
 
-  public constructor (private readonly _random: IRandom, private readonly _make: ItemMaker) {
+  public constructor (private readonly _random: IRandom, private readonly _createItem: ItemFactory) {
     this._engine = new DecisionEngine(this._clock, _random, { kind: 'resources' })
   }
 
@@ -51,24 +51,24 @@
     for (const host of hosts) this._engine.putHost(host)
   }
 
-  /** Places small items until so many run, or no more fit. */
-  public fill (running: number): void {
+  /** Places small items until `running` items run or no more fit. */
+  public fillHosts (running: number): void {
     while (this._running.length < running) {
-      this._admit(false)
-      if (this._decide() === 0) return
+      this._admitItem(false)
+      if (this._applyDecisions() === 0) return
     }
   }
 
-  /** Adds large items, which stay in the queue once the hosts are full. */
-  public queue (count: number): void {
+  /** Adds `count` large items, which stay in the queue once the hosts are full. */
+  public addQueued (count: number): void {
     for (let added = 0; added < count; added++) {
-      this._admit(true)
-      this._decide()
+      this._admitItem(true)
+      this._applyDecisions()
     }
   }
 
-  /** One item ends, one comes, and all decisions that follow are taken; gives how many were placed. */
-  public round (isLarge: boolean): number {
+  /** Ends one item, admits another one, applies all resulting decisions and returns the number of placements. */
+  public runRound (isLarge: boolean): number {
     this._clock.atMs += STEP_MS
     const index = Math.floor(this._random.next() * this._running.length)
     const ended = this._running[index]
@@ -76,16 +76,16 @@
     if (ended === undefined || last === undefined) return 0
     if (ended !== last) this._running[index] = last
     this._engine.recordEnd(ended, 'succeeded', RUN_MS)
-    this._admit(isLarge)
-    return this._decide()
+    this._admitItem(isLarge)
+    return this._applyDecisions()
   }
 
-  private _admit (isLarge: boolean): void {
-    this._items += 1
-    this._engine.admit(this._make(this._items, isLarge, this._clock.atMs))
+  private _admitItem (isLarge: boolean): void {
+    this._itemCount += 1
+    this._engine.admit(this._createItem(this._itemCount, isLarge, this._clock.atMs))
   }
 
-  private _decide (): number {
+  private _applyDecisions (): number {
     let placed = 0
     for (let decision = this._engine.next(); decision !== undefined; decision = this._engine.next()) {
       if (decision.type !== 'place') continue
--- a/bench/decisions/ManyCallers.ts
+++ b/bench/decisions/ManyCallers.ts
@@ -1,5 +1,6 @@
 /**
- * Twice saturation for long, each request from a caller that never returns: what is given up, and whether memory grows.
+ * A long run at twice saturation in which each request has a new caller: measures how many requests are given up, and whether
+ * memory grows.
  */
 
 import { DecisionEngine } from '../../src/common/policy/DecisionEngine.js'
@@ -11,8 +12,8 @@
 const REQUESTS = 1_000_000
 const SAMPLES = 4
 
-/** 240 slots at 200 ms serve 1,200 requests a second; one each 0.4 ms is twice that. */
-const BETWEEN_MS = 0.4
+/** 240 slots at 200 ms serve 1,200 requests a second. One request each 0.4 ms is twice that rate. */
+const INTERVAL_MS = 0.4
 const RUN_MS = 200
 
 const PROFILES = [
@@ -29,7 +30,7 @@
   const heapMegabytes: number[] = []
   const counts = { placed: 0, refused: 0, gaveUp: 0 }
   for (let i = 1; i <= REQUESTS; i++) {
-    clock.atMs += BETWEEN_MS
+    clock.atMs += INTERVAL_MS
     const profile = PROFILES[i % PROFILES.length] ?? profileOf({})
     const decision = engine.admit({
       id: `request-${i}`,
@@ -44,13 +45,13 @@
     })
     if (!decision.admitted) counts.refused += 1
     if (i % 2 === 0) engine.recordEnd(running.shift() ?? '', 'succeeded', RUN_MS)
-    carryOut(engine, running, counts)
-    if (i % (REQUESTS / SAMPLES) === 0) heapMegabytes.push(heapNow())
+    applyDecisions(engine, running, counts)
+    if (i % (REQUESTS / SAMPLES) === 0) heapMegabytes.push(heapInUse())
   }
   console.log(JSON.stringify({ scenario: 'many-callers', policy: 'ours', requests: REQUESTS, ...counts, heapMegabytes }))
 }
 
-function carryOut (engine: DecisionEngine, running: string[], counts: { placed: number, gaveUp: number }): void {
+function applyDecisions (engine: DecisionEngine, running: string[], counts: { placed: number, gaveUp: number }): void {
   for (let decision = engine.next(); decision !== undefined; decision = engine.next()) {
     if (decision.type === 'place') {
       running.push(decision.item.id)
@@ -59,7 +60,7 @@
   }
 }
 
-function heapNow (): number {
+function heapInUse (): number {
   globalThis.gc?.()
   return round(process.memoryUsage().heapUsed / 2 ** 20, 1)
 }
--- a/bench/decisions/Outcomes.ts
+++ b/bench/decisions/Outcomes.ts
@@ -1,5 +1,5 @@
 /**
- * What callers saw of one run: waits per profile, shares per caller, refusals, use of the hosts and time per decision.
+ * The results of one run: waits per service, shares per caller, refusals, lost and preempted work, and time per decision.
  */
 
 import { build } from 'hdr-histogram-js'
@@ -10,13 +10,13 @@
 import type { IWorkItem } from '../../src/common/policy/Types.js'
 import type { IResources } from '../../src/common/Types.js'
 
-const MICROSECONDS = 1_000
+const US_PER_MS = 1_000
 
-function histogram (): Histogram {
+function createHistogram (): Histogram {
   return build({ lowestDiscernibleValue: 1, highestTrackableValue: 4e9, numberOfSignificantValueDigits: 3 })
 }
 
-/** Each service of a scenario has its own profile, but for the ones that share a profile to be told apart. */
+/** The results of one service. Most services have a profile of their own; some share a profile but are reported apart. */
 interface IServiceOutcome {
   readonly profile: string
   readonly waits: Histogram
@@ -25,7 +25,7 @@
   refused: number
   gaveUp: number
   starved: number
-  /** Served in the measured time, in shares of the capacity times milliseconds. */
+  /** The work served in the measured time, as the share of the capacity times milliseconds. */
   servedMs: number
 }
 
@@ -38,64 +38,64 @@
   public lost = 0
   public preempted = 0
   public overCapacity = 0
-  public refusedMet = 0
-  public refusedFollowed = 0
+  public admittedReturns = 0
+  public returns = 0
   public worstPauseMs = 0
   public decisions = 0
   public decisionMs = 0
   private readonly _services = new Map<string, IServiceOutcome>()
   private readonly _callers = new Map<string, Map<string, ICallerOutcome>>()
-  private readonly _decisionTimes = histogram()
-  private readonly _refusalTimes = histogram()
+  private readonly _decisionTimes = createHistogram()
+  private readonly _refusalTimes = createHistogram()
 
   public constructor (private readonly _capacity: IResources) {}
 
-  public noteArrived (item: IWorkItem, runMs: number): void {
-    this._service(item).arrived += 1
-    this._caller(item).demandMs += runMs * dominantShare(item.resources, this._capacity)
+  public recordArrival (item: IWorkItem, runMs: number): void {
+    this._serviceOutcome(item).arrived += 1
+    this._callerOutcome(item).demandMs += runMs * dominantShare(item.resources, this._capacity)
   }
 
-  public notePlaced (item: IWorkItem, waitMs: number): void {
-    const outcome = this._service(item)
+  public recordPlacement (item: IWorkItem, waitMs: number): void {
+    const outcome = this._serviceOutcome(item)
     outcome.placed += 1
-    outcome.waits.recordValue(Math.round(waitMs * MICROSECONDS))
+    outcome.waits.recordValue(Math.round(waitMs * US_PER_MS))
   }
 
-  /** Work that still waits at the end counts with its wait so far: leaving it out would flatter whoever starves it. */
-  public noteWaiting (item: IWorkItem, waitMs: number, starvedAfterMs: number): void {
-    const outcome = this._service(item)
-    outcome.waits.recordValue(Math.round(waitMs * MICROSECONDS))
+  /** Records work that still waits at the end with its wait so far. Without it, a policy that starves work would look too good. */
+  public recordWaiting (item: IWorkItem, waitMs: number, starvedAfterMs: number): void {
+    const outcome = this._serviceOutcome(item)
+    outcome.waits.recordValue(Math.round(waitMs * US_PER_MS))
     if (waitMs > starvedAfterMs) outcome.starved += 1
   }
 
-  public noteServed (item: IWorkItem, runMs: number): void {
+  public recordServed (item: IWorkItem, runMs: number): void {
     const costMs = runMs * dominantShare(item.resources, this._capacity)
-    this._service(item).servedMs += costMs
-    this._caller(item).servedMs += costMs
+    this._serviceOutcome(item).servedMs += costMs
+    this._callerOutcome(item).servedMs += costMs
   }
 
-  public noteRefused (item: IWorkItem, tookMs: number): void {
-    this._service(item).refused += 1
-    this._refusalTimes.recordValue(Math.round(tookMs * MICROSECONDS))
+  public recordRefusal (item: IWorkItem, tookMs: number): void {
+    this._serviceOutcome(item).refused += 1
+    this._refusalTimes.recordValue(Math.round(tookMs * US_PER_MS))
   }
 
-  public noteGaveUp (item: IWorkItem, waitMs: number): void {
-    const outcome = this._service(item)
+  public recordGivenUp (item: IWorkItem, waitMs: number): void {
+    const outcome = this._serviceOutcome(item)
     outcome.gaveUp += 1
-    outcome.waits.recordValue(Math.round(waitMs * MICROSECONDS))
+    outcome.waits.recordValue(Math.round(waitMs * US_PER_MS))
   }
 
-  /** Times one call of the engine; calls that decide nothing count into the time but not into the decisions. */
-  public noteCall (tookMs: number, hasDecided: boolean): void {
+  /** Records the time of one call of the engine. A call without a decision counts towards the time but not the number of decisions. */
+  public recordCall (tookMs: number, hasDecided: boolean): void {
     if (hasDecided) this.decisions += 1
     this.decisionMs += tookMs
     this.worstPauseMs = Math.max(this.worstPauseMs, tookMs)
-    this._decisionTimes.recordValue(Math.round(tookMs * MICROSECONDS))
+    this._decisionTimes.recordValue(Math.round(tookMs * US_PER_MS))
   }
 
   public waitMs (service: string, percentile: number): number {
     const waits = this._services.get(service)?.waits
-    return waits === undefined ? 0 : waits.getValueAtPercentile(percentile) / MICROSECONDS
+    return waits === undefined ? 0 : waits.getValueAtPercentile(percentile) / US_PER_MS
   }
 
   public summary (measuredMs: number): Readonly<Record<string, unknown>> {
@@ -103,39 +103,39 @@
     for (const [name, outcome] of this._services) services[name] = summaryOf(outcome, measuredMs)
     return {
       services,
-      jain: round(this._jain(), 4),
+      jain: round(this._lowestJainIndex(), 4),
       lost: this.lost,
       preempted: this.preempted,
       overCapacity: this.overCapacity,
-      ...this._returns(),
-      refusalP99Ms: this._refusalTimes.getValueAtPercentile(99) / MICROSECONDS,
+      ...this._returnSummary(),
+      refusalP99Ms: this._refusalTimes.getValueAtPercentile(99) / US_PER_MS,
       decisionsPerSecond: Math.round(this.decisions / this.decisionMs * 1_000),
-      decisionP99Ms: this._decisionTimes.getValueAtPercentile(99) / MICROSECONDS,
+      decisionP99Ms: this._decisionTimes.getValueAtPercentile(99) / US_PER_MS,
       decisionWorstMs: round(this.worstPauseMs, 3)
     }
   }
 
-  private _returns (): Readonly<Record<string, unknown>> {
-    if (this.refusedFollowed === 0) return {}
-    return { refusedMetShare: round(this.refusedMet / this.refusedFollowed, 4), refusedFollowed: this.refusedFollowed }
+  private _returnSummary (): Readonly<Record<string, unknown>> {
+    if (this.returns === 0) return {}
+    return { refusedMetShare: round(this.admittedReturns / this.returns, 4), refusedFollowed: this.returns }
   }
 
-  /** Jain's index of what callers were served over the share they were due, the least of the profiles. */
-  private _jain (): number {
-    let least = 1
-    for (const callers of this._callers.values()) least = Math.min(least, jainOf([...callers.values()]))
-    return least
+  /** Jain's index of the work served to callers relative to their fair shares; the lowest index of all profiles. */
+  private _lowestJainIndex (): number {
+    let lowest = 1
+    for (const callers of this._callers.values()) lowest = Math.min(lowest, jainIndexOf([...callers.values()]))
+    return lowest
   }
 
-  private _service (item: IWorkItem): IServiceOutcome {
+  private _serviceOutcome (item: IWorkItem): IServiceOutcome {
     const known = this._services.get(item.service)
     if (known !== undefined) return known
-    const outcome = { profile: item.profile.name, waits: histogram(), arrived: 0, placed: 0, refused: 0, gaveUp: 0, starved: 0, servedMs: 0 }
+    const outcome = { profile: item.profile.name, waits: createHistogram(), arrived: 0, placed: 0, refused: 0, gaveUp: 0, starved: 0, servedMs: 0 }
     this._services.set(item.service, outcome)
     return outcome
   }
 
-  private _caller (item: IWorkItem): ICallerOutcome {
+  private _callerOutcome (item: IWorkItem): ICallerOutcome {
     const callers = this._callers.get(item.profile.name) ?? new Map<string, ICallerOutcome>()
     this._callers.set(item.profile.name, callers)
     const known = callers.get(item.caller) ?? { demandMs: 0, servedMs: 0 }
@@ -158,30 +158,30 @@
     gaveUp,
     starved,
     servedShare: round(servedMs / measuredMs, 4),
-    waitP50Ms: waits.getValueAtPercentile(50) / MICROSECONDS,
-    waitP99Ms: waits.getValueAtPercentile(99) / MICROSECONDS,
-    waitWorstMs: waits.maxValue / MICROSECONDS
+    waitP50Ms: waits.getValueAtPercentile(50) / US_PER_MS,
+    waitP99Ms: waits.getValueAtPercentile(99) / US_PER_MS,
+    waitWorstMs: waits.maxValue / US_PER_MS
   }
 }
 
-function jainOf (callers: readonly ICallerOutcome[]): number {
+function jainIndexOf (callers: readonly ICallerOutcome[]): number {
   const served = callers.reduce((sum, caller) => sum + caller.servedMs, 0)
   if (served === 0) return 0
-  const level = fairLevel(callers.map((caller) => caller.demandMs), served)
-  const ratios = callers.filter((caller) => caller.demandMs > 0).map((caller) => caller.servedMs / Math.min(caller.demandMs, level))
+  const fairShareMs = maxMinFairShare(callers.map((caller) => caller.demandMs), served)
+  const ratios = callers.filter((caller) => caller.demandMs > 0).map((caller) => caller.servedMs / Math.min(caller.demandMs, fairShareMs))
   const sum = ratios.reduce((total, ratio) => total + ratio, 0)
   const squares = ratios.reduce((total, ratio) => total + ratio * ratio, 0)
   return squares === 0 ? 1 : sum * sum / (ratios.length * squares)
 }
 
-/** The level up to which every demand can be met out of `total`: the max-min fair share. */
-function fairLevel (demands: readonly number[], total: number): number {
+/** The max-min fair share: the level up to which `total` meets every demand. */
+function maxMinFairShare (demands: readonly number[], total: number): number {
   const sorted = [...demands].sort((a, b) => a - b)
-  let left = total
+  let remaining = total
   for (const [i, demand] of sorted.entries()) {
-    const even = left / (sorted.length - i)
-    if (demand > even) return even
-    left -= demand
+    const evenShare = remaining / (sorted.length - i)
+    if (demand > evenShare) return evenShare
+    remaining -= demand
   }
   return Infinity
 }
--- a/bench/decisions/Speed.ts
+++ b/bench/decisions/Speed.ts
@@ -1,12 +1,12 @@
 /**
- * How fast decisions are and what they cost in memory, in real time: a steady state of tasks that end and arrive.
+ * Measures the speed and the memory of decisions in real time, in a steady state in which tasks end and arrive.
  */
 
 import { build } from 'hdr-histogram-js'
 
 import { DecisionEngine } from '../../src/common/policy/DecisionEngine.js'
 import { SeededRandom } from '../../src/common/Random.js'
-import { GIB, hostsOf, pick, profileOf } from './Arrivals.js'
+import { GIB, hostsOf, pickWeighted, profileOf } from './Arrivals.js'
 import { LoadedEngine, taskItem } from './LoadedEngine.js'
 import { round } from './Outcomes.js'
 import { VirtualClock } from './VirtualRun.js'
@@ -14,7 +14,7 @@
 import type { IRandom, IResources, MonotonicMs } from '../../src/common/Types.js'
 import type { IWorkItem } from '../../src/common/policy/Types.js'
 
-const MICROSECONDS = 1_000
+const US_PER_MS = 1_000
 const WORKER: IResources = { cores: 64, memoryBytes: 128 * GIB, accelerators: 0 }
 const TEAMS = 10
 
@@ -46,26 +46,26 @@
 
   public constructor (private readonly _size: ISize, seed: number) {
     const random = new SeededRandom(seed)
-    this._engine = new LoadedEngine(random, (number, isLarge, nowMs) => toItem(number, isLarge, nowMs, random))
+    this._engine = new LoadedEngine(random, (number, isLarge, nowMs) => createItem(number, isLarge, nowMs, random))
   }
 
   public run (): Readonly<Record<string, unknown>> {
     const emptyBytes = heapBytes()
     this._engine.addHosts(hostsOf(this._size.hosts, WORKER))
     const hostsBytes = heapBytes()
-    this._engine.fill(this._size.running)
+    this._engine.fillHosts(this._size.running)
     const runningBytes = heapBytes()
-    this._engine.queue(this._size.queued)
+    this._engine.addQueued(this._size.queued)
     const queuedBytes = heapBytes()
     const isQueued = this._size.queued > 0
-    for (let i = 0; i < WARM_UP_ROUNDS; i++) this._engine.round(isQueued)
-    const times = build({ lowestDiscernibleValue: 1, highestTrackableValue: 1e9, numberOfSignificantValueDigits: 3 })
+    for (let i = 0; i < WARM_UP_ROUNDS; i++) this._engine.runRound(isQueued)
+    const roundUs = build({ lowestDiscernibleValue: 1, highestTrackableValue: 1e9, numberOfSignificantValueDigits: 3 })
     let placed = 0
     const startedMs = performance.now()
     for (let i = 0; i < MEASURED_ROUNDS; i++) {
       const roundStartedMs = performance.now()
-      placed += this._engine.round(isQueued)
-      times.recordValue(Math.round((performance.now() - roundStartedMs) * MICROSECONDS))
+      placed += this._engine.runRound(isQueued)
+      roundUs.recordValue(Math.round((performance.now() - roundStartedMs) * US_PER_MS))
     }
     const tookMs = performance.now() - startedMs
     return {
@@ -73,8 +73,8 @@
       policy: 'ours',
       ...this._size,
       decisionsPerSecond: Math.round(placed / tookMs * 1_000),
-      roundP99Ms: times.getValueAtPercentile(99) / MICROSECONDS,
-      roundWorstMs: times.maxValue / MICROSECONDS,
+      roundP99Ms: roundUs.getValueAtPercentile(99) / US_PER_MS,
+      roundWorstMs: roundUs.maxValue / US_PER_MS,
       bytesPerHost: perUnit(hostsBytes - emptyBytes, this._size.hosts),
       bytesPerRunning: perUnit(runningBytes - hostsBytes, this._size.running),
       bytesPerQueued: perUnit(queuedBytes - runningBytes, this._size.queued),
@@ -83,8 +83,8 @@
   }
 }
 
-function toItem (number: number, isLarge: boolean, nowMs: MonotonicMs, random: IRandom): IWorkItem {
-  const cores = isLarge ? pick(random, [[16, 1], [32, 1], [64, 1]]) : pick(random, [[8, 2], [12, 1], [16, 1]])
+function createItem (number: number, isLarge: boolean, nowMs: MonotonicMs, random: IRandom): IWorkItem {
+  const cores = isLarge ? pickWeighted(random, [[16, 1], [32, 1], [64, 1]]) : pickWeighted(random, [[8, 2], [12, 1], [16, 1]])
   return taskItem(number, cores, TEAMS, nowMs)
 }
 
@@ -97,11 +97,11 @@
   return units === 0 ? 0 : Math.round(bytes / units)
 }
 
-const QUEUED = 100_000
+const CANCEL_WAVE_ITEMS = 100_000
 
 /**
- * Half of 100,000 queued items are cancelled at once, in the order in which they came; between the cancellations a placement
- * is made now and then, and its time is what a caller notices.
+ * Cancels half of 100,000 queued items at once, in the order of their arrival. After every 100 cancellations a placement is made;
+ * its time is the delay that a caller notices.
  */
 export function measureCancelWave (seed: number): void {
   const clock = new VirtualClock()
@@ -109,26 +109,26 @@
   const engine = new DecisionEngine(clock, random, { kind: 'slots' })
   for (const host of hostsOf(30, { cores: 8, memoryBytes: 0, accelerators: 0 })) engine.putHost(host)
   const running: string[] = []
-  for (let i = 0; i < QUEUED + 240; i++) admitSlot(engine, clock, i)
-  place(engine, running)
+  for (let i = 0; i < CANCEL_WAVE_ITEMS + 240; i++) admitSlot(engine, clock, i)
+  applyPlacements(engine, running)
   let worstPauseMs = 0
   const startedMs = performance.now()
-  for (let i = 0; i < QUEUED / 2; i++) {
+  for (let i = 0; i < CANCEL_WAVE_ITEMS / 2; i++) {
     engine.cancel(`item-${i + 240}`)
     if (i % 100 !== 0) continue
     const pauseStartedMs = performance.now()
     engine.recordEnd(running.shift() ?? '', 'succeeded', 100)
-    place(engine, running)
+    applyPlacements(engine, running)
     worstPauseMs = Math.max(worstPauseMs, performance.now() - pauseStartedMs)
   }
   const tookMs = performance.now() - startedMs
   console.log(JSON.stringify({
     scenario: 'cancel-wave-real-time',
     policy: 'ours',
-    queued: QUEUED,
-    cancelled: QUEUED / 2,
+    queued: CANCEL_WAVE_ITEMS,
+    cancelled: CANCEL_WAVE_ITEMS / 2,
     allMs: round(tookMs, 1),
-    microsecondsEach: round(tookMs * MICROSECONDS / (QUEUED / 2), 2),
+    microsecondsEach: round(tookMs * US_PER_MS / (CANCEL_WAVE_ITEMS / 2), 2),
     worstPlacingPauseMs: round(worstPauseMs, 3)
   }))
 }
@@ -147,7 +147,7 @@
   })
 }
 
-function place (engine: DecisionEngine, running: string[]): void {
+function applyPlacements (engine: DecisionEngine, running: string[]): void {
   for (let decision = engine.next(); decision !== undefined; decision = engine.next()) {
     if (decision.type === 'place') running.push(decision.item.id)
   }
--- a/bench/decisions/Types.ts
+++ b/bench/decisions/Types.ts
@@ -1,15 +1,15 @@
 /**
- * What a scenario of the decisions bench consists of: hosts, arrivals and things that happen to hosts.
+ * The parts of a scenario of the decisions bench: hosts, arrivals and faults of hosts.
  */
 
 import type { IEngineHost, IWorkItem } from '../../src/common/policy/Types.js'
 import type { IResources } from '../../src/common/Types.js'
 
-/** One item and what it will truly do, which the engine doesn't know. */
+/** One item with its true run time and usage, which the engine does not know. */
 export interface ITrueWork {
   readonly item: IWorkItem
   readonly runMs: number
-  /** What it truly uses, reported a while after its start. Absent: as declared. */
+  /** The true usage, reported some time after the start; absent if it is as declared. */
   readonly usage?: IResources
 }
 
@@ -29,7 +29,7 @@
 
 export interface ICancelWave {
   readonly atMs: number
-  /** The share of what waits then that is cancelled. */
+  /** The share of the waiting items that is cancelled. */
   readonly share: number
 }
 
@@ -40,9 +40,9 @@
   readonly arrivals: readonly IArrival[]
   readonly faults?: readonly IHostFault[]
   readonly cancelWave?: ICancelWave
-  /** The refused come back when they were told to. */
+  /** Whether refused work returns after the delay that the refusal gave. */
   readonly followsRetryAfter?: boolean
-  /** Use is measured from here on, when the hosts have filled. */
+  /** The start of the measured time, after the hosts have filled. */
   readonly measuredFromMs: number
   readonly untilMs: number
   /** An admitted item that waits longer than this counts as starved. */
--- a/bench/decisions/VirtualRun.ts
+++ b/bench/decisions/VirtualRun.ts
@@ -1,5 +1,5 @@
 /**
- * Runs one scenario against one engine in virtual time: hosts are mere end times, and only the decisions are real.
+ * Runs one scenario against one engine in virtual time. Hosts are simulated by the end times of their work; the decisions are real.
  */
 
 import { Heap } from 'heap-js'
@@ -12,16 +12,16 @@
 import type { AttemptEnd, EngineDecision, IDecisionEngine, IEngineHost, IWorkItem } from '../../src/common/policy/Types.js'
 import type { IArrival, IHostFault, IScenario, ITrueWork } from './Types.js'
 
-/** A host that fails everything does so after this time. */
+/** The time after which a host that fails all its work fails an item. */
 const FAILS_AFTER_MS = 1
 
-/** How much longer work takes on a slow host. */
+/** The factor by which work takes longer on a slow host. */
 const SLOW_FACTOR = 10
 
-/** Hosts report use with this lag. */
+/** The time after the start of an item at which its host reports its usage. */
 const REPORT_LAG_MS = 1_000
 
-/** A stopped item is gone after this time. */
+/** The time that it takes to stop an item. */
 const STOP_TAKES_MS = 50
 
 export class VirtualClock implements IClock {
@@ -39,32 +39,32 @@
 interface IEvent {
   readonly atMs: number
   readonly order: number
-  readonly act: () => void
+  readonly action: () => void
 }
 
 interface IRunningWork {
   readonly work: ITrueWork
   readonly hostId: string
   readonly startedAtMs: number
-  counted: IMutableResources
+  countedUsage: IMutableResources
 }
 
 export class VirtualRun {
   public readonly outcomes: Outcomes
   private readonly _events = new Heap<IEvent>((a, b) => a.atMs === b.atMs ? a.order - b.order : a.atMs - b.atMs)
-  private readonly _work = new Map<string, ITrueWork>()
+  private readonly _workById = new Map<string, ITrueWork>()
   private readonly _waiting = new Map<string, IWorkItem>()
   private readonly _running = new Map<string, IRunningWork>()
-  private readonly _used = new Map<string, IMutableResources>()
+  private readonly _usedByHost = new Map<string, IMutableResources>()
   private readonly _capacity = zeroResources()
   private readonly _inUse = zeroResources()
-  private readonly _usedIntegral = zeroResources()
+  private readonly _usedResourceMs = zeroResources()
   private _overUsedCoresMs = 0
   private _integratedToMs = 0
   private _lostAfterFirstSecond = 0
-  private _placedOnFaultyAfterHeal = 0
+  private _placedAfterHeal = 0
   private _placed = 0
-  private _order = 0
+  private _lastOrder = 0
   private readonly _reportsUsage: boolean
   private _wakeAtMs = Infinity
 
@@ -72,10 +72,10 @@
     this._reportsUsage = _scenario.arrivals.some(({ work }) => work.some(({ usage }) => usage !== undefined))
     for (const host of _scenario.hosts) this._putHost(host)
     this.outcomes = new Outcomes(this._capacity)
-    for (const arrival of _scenario.arrivals) this._at(arrival.atMs, () => this._arrive(arrival))
-    for (const fault of _scenario.faults ?? []) this._plan(fault)
+    for (const arrival of _scenario.arrivals) this._schedule(arrival.atMs, () => this._handleArrival(arrival))
+    for (const fault of _scenario.faults ?? []) this._scheduleFault(fault)
     const wave = _scenario.cancelWave
-    if (wave !== undefined) this._at(wave.atMs, () => this._cancelShare(wave.share))
+    if (wave !== undefined) this._schedule(wave.atMs, () => this._cancelShare(wave.share))
   }
 
   public run (): Readonly<Record<string, unknown>> {
@@ -83,29 +83,29 @@
     for (let event = this._events.pop(); event !== undefined && event.atMs <= untilMs; event = this._events.pop()) {
       this._integrateTo(event.atMs)
       this._clock.atMs = event.atMs
-      event.act()
-      this._carryOut()
+      event.action()
+      this._applyDecisions()
     }
     this._integrateTo(untilMs)
-    for (const item of this._waiting.values()) this.outcomes.noteWaiting(item, untilMs - item.arrivedAtMs, this._scenario.starvedAfterMs)
+    for (const item of this._waiting.values()) this.outcomes.recordWaiting(item, untilMs - item.arrivedAtMs, this._scenario.starvedAfterMs)
     return this._summary()
   }
 
-  /** The share of the capacity in use over the measured time, in the resource that is used most. */
+  /** The share of the capacity in use over the measured time, for the resource with the highest share. */
   public useShare (): number {
     const measuredMs = this._scenario.untilMs - this._scenario.measuredFromMs
     const shareOf = (used: number, whole: number): number => whole === 0 ? 0 : used / whole / measuredMs
     return Math.max(
-      shareOf(this._usedIntegral.cores, this._capacity.cores),
-      shareOf(this._usedIntegral.memoryBytes, this._capacity.memoryBytes),
-      shareOf(this._usedIntegral.accelerators, this._capacity.accelerators)
+      shareOf(this._usedResourceMs.cores, this._capacity.cores),
+      shareOf(this._usedResourceMs.memoryBytes, this._capacity.memoryBytes),
+      shareOf(this._usedResourceMs.accelerators, this._capacity.accelerators)
     )
   }
 
   private _summary (): Readonly<Record<string, unknown>> {
     const faulty = this._scenario.faults === undefined
       ? {}
-      : { lostAfterFirstSecondShare: round(this._lostAfterFirstSecond / this._placed, 5), placedAfterHeal: this._placedOnFaultyAfterHeal }
+      : { lostAfterFirstSecondShare: round(this._lostAfterFirstSecond / this._placed, 5), placedAfterHeal: this._placedAfterHeal }
     return {
       useShare: round(this.useShare(), 4),
       overUsedShare: round(this._overUsedCoresMs / this._capacity.cores / (this._scenario.untilMs - this._scenario.measuredFromMs), 4),
@@ -116,17 +116,17 @@
 
   private _putHost (host: IEngineHost): void {
     this._engine.putHost(host)
-    this._used.set(host.hostId, zeroResources())
+    this._usedByHost.set(host.hostId, zeroResources())
     addInto(this._capacity, host.capacity)
   }
 
-  private _at (atMs: number, act: () => void): void {
-    this._order += 1
-    this._events.push({ atMs, order: this._order, act })
+  private _schedule (atMs: number, action: () => void): void {
+    this._lastOrder += 1
+    this._events.push({ atMs, order: this._lastOrder, action })
   }
 
-  private _arrive (arrival: IArrival): void {
-    for (const { item, runMs } of arrival.work) this.outcomes.noteArrived(item, runMs)
+  private _handleArrival (arrival: IArrival): void {
+    for (const { item, runMs } of arrival.work) this.outcomes.recordArrival(item, runMs)
     this._admit(arrival, false)
   }
 
@@ -134,129 +134,129 @@
     const { work, groupId } = arrival
     const [first] = work
     if (first === undefined) return
-    for (const one of work) {
-      this._work.set(one.item.id, one)
-      this._waiting.set(one.item.id, one.item)
+    for (const entry of work) {
+      this._workById.set(entry.item.id, entry)
+      this._waiting.set(entry.item.id, entry.item)
     }
     const startedMs = performance.now()
-    const decision = groupId === undefined ? this._engine.admit(first.item) : this._engine.admitGroup(groupId, work.map((one) => one.item))
+    const decision = groupId === undefined ? this._engine.admit(first.item) : this._engine.admitGroup(groupId, work.map((entry) => entry.item))
     const tookMs = performance.now() - startedMs
-    this.outcomes.noteCall(tookMs, !decision.admitted)
-    if (isReturn && decision.admitted) this.outcomes.refusedMet += 1
+    this.outcomes.recordCall(tookMs, !decision.admitted)
+    if (isReturn && decision.admitted) this.outcomes.admittedReturns += 1
     if (decision.admitted) return
     for (const { item } of work) {
       this._waiting.delete(item.id)
-      this.outcomes.noteRefused(item, tookMs)
+      this.outcomes.recordRefusal(item, tookMs)
     }
-    if (this._scenario.followsRetryAfter === true && decision.reason === 'overloaded') this._planReturn(arrival, isReturn, decision.retryAfterMs)
+    if (this._scenario.followsRetryAfter === true && decision.reason === 'overloaded') this._scheduleReturn(arrival, isReturn, decision.retryAfterMs)
   }
 
-  /** The first return of each counts: it comes just when it was told to, with a deadline as long as before. */
-  private _planReturn (arrival: IArrival, isReturn: boolean, retryAfterMs: number): void {
+  /** Schedules the first return of refused work, exactly after the given delay and with as much time to its deadline as before. */
+  private _scheduleReturn (arrival: IArrival, isReturn: boolean, retryAfterMs: number): void {
     const atMs = this._clock.atMs + retryAfterMs
     if (isReturn || atMs > this._scenario.untilMs) return
-    const work = arrival.work.map((one) => {
-      const allowedMs = one.item.deadlineAtMs - one.item.arrivedAtMs
-      return { ...one, item: { ...one.item, arrivedAtMs: atMs, deadlineAtMs: atMs + allowedMs } }
+    const work = arrival.work.map((entry) => {
+      const allowedMs = entry.item.deadlineAtMs - entry.item.arrivedAtMs
+      return { ...entry, item: { ...entry.item, arrivedAtMs: atMs, deadlineAtMs: atMs + allowedMs } }
     })
-    this._at(atMs, () => {
-      this.outcomes.refusedFollowed += 1
+    this._schedule(atMs, () => {
+      this.outcomes.returns += 1
       this._admit({ ...arrival, work }, true)
     })
   }
 
-  private _carryOut (): void {
+  private _applyDecisions (): void {
     for (;;) {
       const startedMs = performance.now()
       const decision = this._engine.next()
-      this.outcomes.noteCall(performance.now() - startedMs, decision !== undefined)
+      this.outcomes.recordCall(performance.now() - startedMs, decision !== undefined)
       if (decision === undefined) break
-      this._apply(decision)
+      this._applyDecision(decision)
     }
     const wakeAtMs = Math.max(this._engine.nextWakeAtMs(), this._clock.atMs + 0.001)
     if (wakeAtMs >= this._wakeAtMs && this._wakeAtMs > this._clock.atMs) return
     this._wakeAtMs = wakeAtMs
-    if (wakeAtMs < Infinity) this._at(wakeAtMs, () => {})
+    if (wakeAtMs < Infinity) this._schedule(wakeAtMs, () => {})
   }
 
-  private _apply (decision: EngineDecision): void {
-    if (decision.type === 'place') this._place(decision.item, decision.hostId, decision.waitMs)
-    else if (decision.type === 'preempt') this._stop(decision.itemId)
+  private _applyDecision (decision: EngineDecision): void {
+    if (decision.type === 'place') this._placeItem(decision.item, decision.hostId, decision.waitMs)
+    else if (decision.type === 'preempt') this._preemptItem(decision.itemId)
     else {
       this._waiting.delete(decision.item.id)
-      this.outcomes.noteGaveUp(decision.item, this._clock.atMs - decision.item.arrivedAtMs)
+      this.outcomes.recordGivenUp(decision.item, this._clock.atMs - decision.item.arrivedAtMs)
     }
   }
 
-  private _place (item: IWorkItem, hostId: string, waitMs: number): void {
-    const work = this._work.get(item.id)
+  private _placeItem (item: IWorkItem, hostId: string, waitMs: number): void {
+    const work = this._workById.get(item.id)
     if (work === undefined) return
     this._waiting.delete(item.id)
     this._placed += 1
-    this.outcomes.notePlaced(item, waitMs)
+    this.outcomes.recordPlacement(item, waitMs)
     const nowMs = this._clock.atMs
-    const running: IRunningWork = { work, hostId, startedAtMs: nowMs, counted: { ...item.resources } }
+    const running: IRunningWork = { work, hostId, startedAtMs: nowMs, countedUsage: { ...item.resources } }
     this._running.set(item.id, running)
-    this._count(running, 1)
+    this._addUsage(running, 1)
     this._checkCapacity(hostId)
-    this._planEnd(running, nowMs)
+    this._scheduleEnd(running, nowMs)
   }
 
-  private _planEnd (running: IRunningWork, nowMs: number): void {
+  private _scheduleEnd (running: IRunningWork, nowMs: number): void {
     const { work, hostId } = running
     const fault = this._faultOf(hostId, nowMs)
     if (fault?.kind === 'failsAtOnce') {
       if (nowMs >= fault.fromMs + 1_000) this._lostAfterFirstSecond += 1
-      this._at(nowMs + FAILS_AFTER_MS, () => this._end(running, 'failed'))
+      this._schedule(nowMs + FAILS_AFTER_MS, () => this._endItem(running, 'failed'))
       return
     }
-    if (this._wasFaulty(hostId, nowMs)) this._placedOnFaultyAfterHeal += 1
+    if (this._wasFaulty(hostId, nowMs)) this._placedAfterHeal += 1
     const factor = fault?.kind === 'slow' ? SLOW_FACTOR : 1
-    this._at(nowMs + work.runMs * factor, () => this._end(running, 'succeeded'))
+    this._schedule(nowMs + work.runMs * factor, () => this._endItem(running, 'succeeded'))
     const { usage } = work
-    if (usage !== undefined) this._at(nowMs + REPORT_LAG_MS, () => this._report(running, larger(work.item.resources, usage)))
+    if (usage !== undefined) this._schedule(nowMs + REPORT_LAG_MS, () => this._reportUsage(running, larger(work.item.resources, usage)))
   }
 
-  private _report (running: IRunningWork, usage: IMutableResources): void {
+  private _reportUsage (running: IRunningWork, usage: IMutableResources): void {
     const { id } = running.work.item
     if (this._running.get(id) !== running) return
-    this._count(running, -1)
-    running.counted = { ...usage }
-    this._count(running, 1)
+    this._addUsage(running, -1)
+    running.countedUsage = { ...usage }
+    this._addUsage(running, 1)
     this._engine.reportUsage(id, usage)
   }
 
-  private _stop (itemId: string): void {
+  private _preemptItem (itemId: string): void {
     const running = this._running.get(itemId)
     if (running === undefined) return
     this.outcomes.preempted += 1
-    this._at(this._clock.atMs + STOP_TAKES_MS, () => {
+    this._schedule(this._clock.atMs + STOP_TAKES_MS, () => {
       if (this._running.get(itemId) !== running) return
-      this._end(running, 'stopped')
+      this._endItem(running, 'stopped')
       this._admit({ atMs: this._clock.atMs, work: [running.work] }, false)
     })
   }
 
-  private _end (running: IRunningWork, end: AttemptEnd): void {
+  private _endItem (running: IRunningWork, end: AttemptEnd): void {
     const { item } = running.work
     if (this._running.get(item.id) !== running) return
     this._running.delete(item.id)
-    this._count(running, -1)
+    this._addUsage(running, -1)
     const runMs = this._clock.atMs - running.startedAtMs
-    if (end === 'succeeded') this.outcomes.noteServed(item, this._measuredPart(running))
+    if (end === 'succeeded') this.outcomes.recordServed(item, this._measuredRunMs(running))
     if (end === 'failed') this.outcomes.lost += 1
     this._engine.recordEnd(item.id, end, runMs)
   }
 
-  private _measuredPart (running: IRunningWork): number {
+  private _measuredRunMs (running: IRunningWork): number {
     return Math.max(0, this._clock.atMs - Math.max(running.startedAtMs, this._scenario.measuredFromMs))
   }
 
-  private _plan (fault: IHostFault): void {
+  private _scheduleFault (fault: IHostFault): void {
     const host = this._scenario.hosts.find((candidate) => candidate.hostId === fault.hostId)
     if (fault.kind !== 'gone' || host === undefined) return
-    this._at(fault.fromMs, () => this._loseHost(host))
-    this._at(fault.untilMs, () => this._engine.putHost(host))
+    this._schedule(fault.fromMs, () => this._loseHost(host))
+    this._schedule(fault.untilMs, () => this._engine.putHost(host))
   }
 
   private _loseHost (host: IEngineHost): void {
@@ -264,20 +264,20 @@
       const running = this._running.get(itemId)
       if (running === undefined) continue
       this._running.delete(itemId)
-      this._count(running, -1)
+      this._addUsage(running, -1)
       this.outcomes.lost += 1
     }
   }
 
   private _cancelShare (share: number): void {
-    let left = Math.floor(this._waiting.size * share)
+    let remaining = Math.floor(this._waiting.size * share)
     for (const [itemId] of [...this._waiting]) {
-      if (left <= 0) return
-      left -= 1
+      if (remaining <= 0) return
+      remaining -= 1
       this._waiting.delete(itemId)
       const startedMs = performance.now()
       this._engine.cancel(itemId)
-      this.outcomes.noteCall(performance.now() - startedMs, false)
+      this.outcomes.recordCall(performance.now() - startedMs, false)
     }
   }
 
@@ -289,25 +289,25 @@
     return this._scenario.faults?.some((fault) => fault.hostId === hostId && fault.untilMs <= atMs) === true
   }
 
-  private _count (running: IRunningWork, sign: 1 | -1): void {
-    const used = this._used.get(running.hostId)
+  private _addUsage (running: IRunningWork, sign: 1 | -1): void {
+    const used = this._usedByHost.get(running.hostId)
     if (used === undefined) return
-    if (sign === 1) addInto(used, running.counted)
-    else subtractFrom(used, running.counted)
-    if (sign === 1) addInto(this._inUse, running.counted)
-    else subtractFrom(this._inUse, running.counted)
+    if (sign === 1) addInto(used, running.countedUsage)
+    else subtractFrom(used, running.countedUsage)
+    if (sign === 1) addInto(this._inUse, running.countedUsage)
+    else subtractFrom(this._inUse, running.countedUsage)
   }
 
   private _checkCapacity (hostId: string): void {
     const host = this._scenario.hosts.find((candidate) => candidate.hostId === hostId)
-    const used = this._used.get(hostId)
+    const used = this._usedByHost.get(hostId)
     if (host !== undefined && used !== undefined && !fits(used, host.capacity)) this.outcomes.overCapacity += 1
   }
 
-  /** Cores that tasks want beyond what their hosts have: what reported sizes can't foresee. */
+  /** The cores that tasks use beyond the capacity of their hosts. Usage is reported after placement, so this can be above zero. */
   private _overUsedCores (): number {
     let cores = 0
-    for (const host of this._scenario.hosts) cores += Math.max(0, (this._used.get(host.hostId)?.cores ?? 0) - host.capacity.cores)
+    for (const host of this._scenario.hosts) cores += Math.max(0, (this._usedByHost.get(host.hostId)?.cores ?? 0) - host.capacity.cores)
     return cores
   }
 
@@ -317,8 +317,8 @@
     this._integratedToMs = atMs
     if (elapsedMs <= 0) return
     if (this._reportsUsage) this._overUsedCoresMs += this._overUsedCores() * elapsedMs
-    this._usedIntegral.cores += this._inUse.cores * elapsedMs
-    this._usedIntegral.memoryBytes += this._inUse.memoryBytes * elapsedMs
-    this._usedIntegral.accelerators += this._inUse.accelerators * elapsedMs
+    this._usedResourceMs.cores += this._inUse.cores * elapsedMs
+    this._usedResourceMs.memoryBytes += this._inUse.memoryBytes * elapsedMs
+    this._usedResourceMs.accelerators += this._inUse.accelerators * elapsedMs
   }
 }
--- a/bench/links.ts
+++ b/bench/links.ts
@@ -1,5 +1,5 @@
 /**
- * What a link carries: requests and replies with bodies of 1 KB between two processes, and their processor time.
+ * Measures the throughput of a peer link: requests and replies with bodies of 1 KB between two processes, and their processor time.
  *
  *     npm run bench -- links
  */
@@ -24,7 +24,7 @@
 const OPEN_PER_MS = 5
 const US_PER_MS = 1_000
 
-interface IRun {
+interface ILoadRun {
   readonly requests: number
   readonly elapsedMs: number
   readonly callerCpuMs: number
@@ -37,30 +37,30 @@
 
   public constructor (private readonly _link: IPeerLink, private readonly _callee: ChildProcess) {}
 
-  /** As many requests in flight all the time. */
-  public async closedLoop (requests: number, inFlight: number): Promise<IRun> {
+  /** Keeps `inFlight` requests in flight all the time. */
+  public async runClosedLoop (requests: number, inFlight: number): Promise<ILoadRun> {
     return this._measure(requests, async () => {
-      let left = requests
-      const caller = async (): Promise<void> => { while (left-- > 0) await this._request() }
+      let remaining = requests
+      const caller = async (): Promise<void> => { while (remaining-- > 0) await this._request() }
       await Promise.all(Array.from({ length: inFlight }, caller))
     })
   }
 
-  /** 5,000 requests/s, whatever becomes of them; adds the time of each to `latenciesMs`. */
-  public async openLoop (latenciesMs: number[]): Promise<IRun> {
+  /** Sends 5,000 requests/s without waiting for earlier replies, and adds the latency of each to `latenciesMs`. */
+  public async runOpenLoop (latenciesMs: number[]): Promise<ILoadRun> {
     return this._measure(OPEN_REQUESTS, async () => {
       const startMs = performance.now()
       const running: Array<Promise<void>> = []
       while (running.length < OPEN_REQUESTS) {
-        const due = Math.min(OPEN_REQUESTS, (performance.now() - startMs) * OPEN_PER_MS)
-        while (running.length < due) running.push(this._timed(latenciesMs))
+        const dueCount = Math.min(OPEN_REQUESTS, (performance.now() - startMs) * OPEN_PER_MS)
+        while (running.length < dueCount) running.push(this._requestTimed(latenciesMs))
         await new Promise((resolve) => { setTimeout(resolve, 1) })
       }
       await Promise.all(running)
     })
   }
 
-  private async _timed (latenciesMs: number[]): Promise<void> {
+  private async _requestTimed (latenciesMs: number[]): Promise<void> {
     const startMs = performance.now()
     await this._request()
     latenciesMs.push(performance.now() - startMs)
@@ -68,7 +68,7 @@
 
   private async _request (): Promise<void> {
     this._sent += 1
-    const ask: ISubmitRequest = {
+    const request: ISubmitRequest = {
       attemptId: `gw-3:${this._sent}`,
       service: 'chip-lookup',
       caller: 'pawprint',
@@ -80,11 +80,11 @@
       ageMs: 0,
       hops: 0
     }
-    const result = await this._link.call('submit', ask, TIMEOUT_MS)
+    const result = await this._link.call('submit', request, TIMEOUT_MS)
     if (result.isErr()) throw result.error
   }
 
-  private async _measure (requests: number, work: () => Promise<void>): Promise<IRun> {
+  private async _measure (requests: number, work: () => Promise<void>): Promise<ILoadRun> {
     const calleeBeforeMs = await this._calleeCpuMs()
     const before = process.cpuUsage()
     const startMs = performance.now()
@@ -104,7 +104,7 @@
   return new Promise((resolve) => { child.once('message', resolve) })
 }
 
-function print (load: string, run: IRun, more: object = {}): void {
+function print (load: string, run: ILoadRun, extra: object = {}): void {
   const { requests, elapsedMs, callerCpuMs, calleeCpuMs } = run
   console.log(JSON.stringify({
     bench: 'links',
@@ -114,11 +114,11 @@
     calleeUsPerRequest: Math.round(calleeCpuMs * 10_000 / requests) / 10,
     callerCoreShare: Math.round(callerCpuMs / elapsedMs * 100) / 100,
     calleeCoreShare: Math.round(calleeCpuMs / elapsedMs * 100) / 100,
-    ...more
+    ...extra
   }))
 }
 
-async function linked (hub: PeerHub, url: string): Promise<IPeerLink> {
+async function connectLink (hub: PeerHub, url: string): Promise<IPeerLink> {
   return new Promise((resolve) => {
     hub.onLink(resolve)
     hub.dial(url, 'callee')
@@ -130,14 +130,14 @@
   const clock = new SystemClock()
   const self = { processId: 'caller', incarnation: 1, region: 'west', failureDomain: 'west-1' }
   const hub = new PeerHub(self, { sharedKey: SHARED_KEY }, { clock, timers: clock, random: new SeededRandom(1) })
-  const bench = new LinkBench(await linked(hub, await nextMessage(callee) as string), callee)
-  await bench.closedLoop(WARM_UP_REQUESTS, 64)
-  for (const inFlight of IN_FLIGHT) print(`closed, ${inFlight} in flight`, await bench.closedLoop(REQUESTS, inFlight))
+  const bench = new LinkBench(await connectLink(hub, await nextMessage(callee) as string), callee)
+  await bench.runClosedLoop(WARM_UP_REQUESTS, 64)
+  for (const inFlight of IN_FLIGHT) print(`closed, ${inFlight} in flight`, await bench.runClosedLoop(REQUESTS, inFlight))
   const latenciesMs: number[] = []
-  const open = await bench.openLoop(latenciesMs)
+  const open = await bench.runOpenLoop(latenciesMs)
   latenciesMs.sort((a, b) => a - b)
-  const at = (share: number): number => Math.round((latenciesMs[Math.floor(latenciesMs.length * share)] ?? 0) * 100) / 100
-  print('open, 5,000 requests/s', open, { p50Ms: at(0.5), p99Ms: at(0.99) })
+  const latencyMs = (share: number): number => Math.round((latenciesMs[Math.floor(latenciesMs.length * share)] ?? 0) * 100) / 100
+  print('open, 5,000 requests/s', open, { p50Ms: latencyMs(0.5), p99Ms: latencyMs(0.99) })
   hub.dispose()
   callee.disconnect()
 }
--- a/bench/linksCallee.ts
+++ b/bench/linksCallee.ts
@@ -1,5 +1,5 @@
 /**
- * The other process of the bench of links: answers requests with their own body, and tells its processor time.
+ * The callee process of the links bench: answers each request with the request's body, and reports its processor time.
  */
 
 import { SystemClock } from '../src/common/Clock.js'
--- a/bench/membership.ts
+++ b/bench/membership.ts
@@ -1,6 +1,6 @@
 /**
- * What membership costs: rounds until a change is known to all, and bytes per second of one process, at growing
- * numbers of members. In virtual time and without sockets; casts are encoded as on a link.
+ * Measures the cost of membership at growing numbers of members: rounds until a change is known to all members, and bytes
+ * per second of one process. The bench runs in virtual time and without sockets; casts are encoded as on a link.
  *
  *     npm run bench -- membership [members …]
  */
@@ -19,17 +19,17 @@
 const SETTLE_ROUNDS = 40
 const QUIET_ROUNDS = 40
 const MAX_ROUNDS = 400
-/** One packet of a cast alone: WebSocket, TCP and IP headers. */
+/** The WebSocket, TCP and IP headers of a packet that carries one cast. */
 const PACKET_BYTES = 4 + 32 + 20
 
-/** Bytes as on the wire: shapes are sent once per link, as the links do. */
+/** Counts bytes as on the wire: like a link, it sends the shape of a record once per link. */
 class WireMeter {
   public bytes = 0
   public crossRegionBytes = 0
   public casts = 0
   private readonly _encoders = new Map<string, Packr>()
 
-  public readonly note = (from: INode, to: INode, cast: IMembersCast): void => {
+  public readonly recordCast = (from: INode, to: INode, cast: IMembersCast): void => {
     const key = `${from.self.processId}>${to.self.processId}`
     const encoder = this._encoders.get(key) ?? new Packr({ sequential: true })
     this._encoders.set(key, encoder)
@@ -54,42 +54,42 @@
   readonly joinRounds: number
   readonly deathRounds: number
   readonly churnBytesPerSecond: number
-  /** A whole region is lost at once. */
+  /** Rounds until the members have converged after a whole region is lost at once. */
   readonly regionLossRounds: number
   readonly regionLossBytesPerSecond: number
 }
 
-/** Sent bytes per second and member since the last reset. */
-function rate (bytes: number, rounds: number, members: number): number {
+/** Converts bytes that were sent in `rounds` to bytes per second and member. */
+function bytesPerMemberSecond (bytes: number, rounds: number, members: number): number {
   return Math.round(bytes / (Math.max(1, rounds) * MEMBERSHIP_DEFAULTS.gossipMs / 1_000) / members)
 }
 
-function knownToAll (cluster: MembershipCluster, processId: string, state: string): boolean {
+function isKnownToAll (cluster: MembershipCluster, processId: string, state: string): boolean {
   return cluster.running().every((node) => node.membership.get(processId)?.state === state)
 }
 
-export function measure (members: number): IMeasurement {
+export function measureMembership (members: number): IMeasurement {
   const meter = new WireMeter()
-  const cluster = startedCluster(members, REGIONS, SEED, meter.note)
+  const cluster = startedCluster(members, REGIONS, SEED, meter.recordCast)
   for (let round = 0; round < SETTLE_ROUNDS; round++) cluster.step()
   const linksPerMember = Math.round(cluster.linkCount() * 2 / members)
   meter.reset()
   for (let round = 0; round < QUIET_ROUNDS; round++) cluster.step()
-  const quietBytesPerSecond = rate(meter.bytes, QUIET_ROUNDS, members)
-  const quietCrossRegionBytesPerSecond = rate(meter.crossRegionBytes, QUIET_ROUNDS, members)
+  const quietBytesPerSecond = bytesPerMemberSecond(meter.bytes, QUIET_ROUNDS, members)
+  const quietCrossRegionBytesPerSecond = bytesPerMemberSecond(meter.crossRegionBytes, QUIET_ROUNDS, members)
   meter.reset()
   const startRound = cluster.round
   cluster.start('joiner', 'r0', [cluster.node('p0')])
-  const joinRounds = cluster.stepUntil(() => knownToAll(cluster, 'joiner', 'alive') && cluster.isConverged(), MAX_ROUNDS)
+  const joinRounds = cluster.stepUntil(() => isKnownToAll(cluster, 'joiner', 'alive') && cluster.isConverged(), MAX_ROUNDS)
   cluster.node('p1').state = 'killed'
-  const deathRounds = cluster.stepUntil(() => knownToAll(cluster, 'p1', 'dead'), MAX_ROUNDS)
-  const churnBytesPerSecond = rate(meter.bytes, cluster.round - startRound, members)
+  const deathRounds = cluster.stepUntil(() => isKnownToAll(cluster, 'p1', 'dead'), MAX_ROUNDS)
+  const churnBytesPerSecond = bytesPerMemberSecond(meter.bytes, cluster.round - startRound, members)
   meter.reset()
   const lossRound = cluster.round
   const lost = cluster.running().filter((node) => node.self.region === LOST_REGION)
   for (const node of lost) node.state = 'killed'
   const regionLossRounds = cluster.stepUntil(() => cluster.isConverged(), MAX_ROUNDS)
-  const regionLossBytesPerSecond = rate(meter.bytes, cluster.round - lossRound, members - lost.length)
+  const regionLossBytesPerSecond = bytesPerMemberSecond(meter.bytes, cluster.round - lossRound, members - lost.length)
   return {
     members,
     linksPerMember,
@@ -103,8 +103,8 @@
   }
 }
 
-/** Least squares of y over x: slope, intercept and the standard error of the estimate. */
-function fit (points: ReadonlyArray<readonly [number, number]>): { readonly slope: number, readonly intercept: number, readonly error: number } {
+/** Fits a line of y over x by least squares; `error` is the standard error of the estimate. */
+function fitLine (points: ReadonlyArray<readonly [number, number]>): { readonly slope: number, readonly intercept: number, readonly error: number } {
   const count = points.length
   const meanX = points.reduce((sum, [x]) => sum + x, 0) / count
   const meanY = points.reduce((sum, [, y]) => sum + y, 0) / count
@@ -119,20 +119,20 @@
   console.log(JSON.stringify(line))
 }
 
-/** @param args member counts instead of the usual ones */
+/** @param args member counts that replace the default ones */
 export async function run (args: readonly string[]): Promise<void> {
   const sizes = args.length > 0 ? args.map(Number) : SIZES
   const results = sizes.map((members) => {
-    const result = measure(members)
+    const result = measureMembership(members)
     print({ bench: 'membership', ...result })
     return result
   })
   if (results.length < 3) return
   const fits = {
-    quietBytesPerSecondPerMember: fit(results.map((result) => [result.members, result.quietBytesPerSecond])),
-    churnBytesPerSecondPerMember: fit(results.map((result) => [result.members, result.churnBytesPerSecond])),
-    joinRoundsPerDoubling: fit(results.map((result) => [Math.log2(result.members), result.joinRounds])),
-    deathRoundsPerDoubling: fit(results.map((result) => [Math.log2(result.members), result.deathRounds]))
+    quietBytesPerSecondPerMember: fitLine(results.map((result) => [result.members, result.quietBytesPerSecond])),
+    churnBytesPerSecondPerMember: fitLine(results.map((result) => [result.members, result.churnBytesPerSecond])),
+    joinRoundsPerDoubling: fitLine(results.map((result) => [Math.log2(result.members), result.joinRounds])),
+    deathRoundsPerDoubling: fitLine(results.map((result) => [Math.log2(result.members), result.deathRounds]))
   }
   print({ bench: 'membership', fits })
 }
--- a/bench/path.ts
+++ b/bench/path.ts
@@ -1,6 +1,6 @@
 /**
- * `npm run bench -- path`: what the path through gateway and scheduler costs against a direct call to the same runner,
- * and what the processes take. All figures come from one run on real processes.
+ * `npm run bench -- path`: measures the cost of the path through gateway and scheduler against a direct call to the same
+ * runner, and the resources that the processes use. All figures come from one run with real processes.
  */
 
 import { build } from 'hdr-histogram-js'
@@ -32,8 +32,8 @@
   readonly latencyUs: Histogram
 }
 
-/** Closed loop: `concurrency` callers, each sends again when it has its answer. */
-async function closedLoop (send: Send, concurrency: number, durationMs: number): Promise<ILoadResult> {
+/** Closed loop: each of `concurrency` callers sends its next request when it has the answer to the previous one. */
+async function runClosedLoop (send: Send, concurrency: number, durationMs: number): Promise<ILoadResult> {
   const latencyUs = build()
   const untilMs = performance.now() + durationMs
   const startedAtMs = performance.now()
@@ -50,8 +50,8 @@
   return { perSecond: latencyUs.totalCount / (performance.now() - startedAtMs) * 1000, failed, latencyUs }
 }
 
-/** Open loop at a fixed rate; latency counts from the time at which a request was due, so that stalls show. */
-async function openLoop (send: Send, perSecond: number, durationMs: number): Promise<ILoadResult> {
+/** Open loop at a fixed rate. Latency counts from the time at which a request was due, so that stalls are visible. */
+async function runOpenLoop (send: Send, perSecond: number, durationMs: number): Promise<ILoadResult> {
   const latencyUs = build()
   const startedAtMs = performance.now()
   const pending: Array<Promise<void>> = []
@@ -72,7 +72,7 @@
   return { perSecond: total / (performance.now() - startedAtMs) * 1000, failed, latencyUs }
 }
 
-function directSend (url: string, connections: number): { readonly send: Send, readonly close: () => Promise<void> } {
+function createDirectSender (url: string, connections: number): { readonly send: Send, readonly close: () => Promise<void> } {
   const pool = new Pool(url, { connections, pipelining: 1 })
   const send: Send = async (number) => {
     const answer = await pool.request({
@@ -91,7 +91,7 @@
   process.stdout.write(JSON.stringify(line) + '\n')
 }
 
-function ms (histogram: Histogram, percentile: number): number {
+function percentileMs (histogram: Histogram, percentile: number): number {
   return histogram.getValueAtPercentile(percentile) / US_PER_MS
 }
 
@@ -120,85 +120,85 @@
 async function measureSpeed (cell: Cell): Promise<void> {
   const runner = cell.hosts[0]
   const client = new CallerClient(cell.gateways()[0]?.url ?? '', CONCURRENCY)
-  const direct = directSend(runner?.url ?? '', runner?.slots ?? 1)
+  const direct = createDirectSender(runner?.url ?? '', runner?.slots ?? 1)
   const viaCell: Send = async (number) => {
     const reply = await client.send({ service: 'chip-lookup', caller: `bench-${number % 8}`, requestId: `${number}`, body: BODY })
     return reply.outcome === 'done'
   }
-  await closedLoop(viaCell, CONCURRENCY, WARM_UP_MS)
-  await closedLoop(direct.send, runner?.slots ?? 1, WARM_UP_MS)
-  const directFull = await closedLoop(direct.send, runner?.slots ?? 1, MEASURE_MS)
+  await runClosedLoop(viaCell, CONCURRENCY, WARM_UP_MS)
+  await runClosedLoop(direct.send, runner?.slots ?? 1, WARM_UP_MS)
+  const directSaturated = await runClosedLoop(direct.send, runner?.slots ?? 1, MEASURE_MS)
   const before = cell.processes.map(({ handle }) => processorMs(handle.pid))
-  const full = await closedLoop(viaCell, CONCURRENCY, MEASURE_MS)
+  const saturated = await runClosedLoop(viaCell, CONCURRENCY, MEASURE_MS)
   print({
     bench: 'path',
     measure: 'saturation',
-    perSecond: full.perSecond,
-    failed: full.failed,
-    directPerSecond: directFull.perSecond,
-    ratio: full.perSecond / directFull.perSecond,
+    perSecond: saturated.perSecond,
+    failed: saturated.failed,
+    directPerSecond: directSaturated.perSecond,
+    ratio: saturated.perSecond / directSaturated.perSecond,
     cores: Object.fromEntries(cell.processes.map(({ processId, handle }, index) =>
       [processId, (processorMs(handle.pid) - (before[index] ?? 0)) / MEASURE_MS])),
     residentMiB: Object.fromEntries(cell.processes.map(({ processId, handle }) => [processId, residentBytes(handle.pid) / MIB]))
   })
-  await measureHalfLoad(viaCell, direct.send, full.perSecond / 2)
+  await measureHalfLoad(viaCell, direct.send, saturated.perSecond / 2)
   await direct.close()
   await client.close()
 }
 
 async function measureHalfLoad (viaCell: Send, direct: Send, perSecond: number): Promise<void> {
-  const directHalf = await openLoop(direct, perSecond, MEASURE_MS)
-  const half = await openLoop(viaCell, perSecond, MEASURE_MS)
-  const added = (percentile: number): number => ms(half.latencyUs, percentile) - ms(directHalf.latencyUs, percentile)
+  const directHalf = await runOpenLoop(direct, perSecond, MEASURE_MS)
+  const half = await runOpenLoop(viaCell, perSecond, MEASURE_MS)
+  const addedMs = (percentile: number): number => percentileMs(half.latencyUs, percentile) - percentileMs(directHalf.latencyUs, percentile)
   print({
     bench: 'path',
     measure: 'half load',
     perSecond: half.perSecond,
     failed: half.failed,
-    p50Ms: ms(half.latencyUs, 50),
-    p99Ms: ms(half.latencyUs, 99),
-    directP50Ms: ms(directHalf.latencyUs, 50),
-    directP99Ms: ms(directHalf.latencyUs, 99),
-    addedP50Ms: added(50),
-    addedP99Ms: added(99),
-    ratioP50: ms(half.latencyUs, 50) / ms(directHalf.latencyUs, 50),
-    ratioP99: ms(half.latencyUs, 99) / ms(directHalf.latencyUs, 99)
+    p50Ms: percentileMs(half.latencyUs, 50),
+    p99Ms: percentileMs(half.latencyUs, 99),
+    directP50Ms: percentileMs(directHalf.latencyUs, 50),
+    directP99Ms: percentileMs(directHalf.latencyUs, 99),
+    addedP50Ms: addedMs(50),
+    addedP99Ms: addedMs(99),
+    ratioP50: percentileMs(half.latencyUs, 50) / percentileMs(directHalf.latencyUs, 50),
+    ratioP99: percentileMs(half.latencyUs, 99) / percentileMs(directHalf.latencyUs, 99)
   })
 }
 
-/** What the example settings say, in place of the faster ones that the proofs use. */
-const PRODUCT_SETTINGS = {
+/** The default settings, in place of the shorter intervals that the tests use. */
+const DEFAULT_SETTINGS = {
   peer: { heartbeatMs: SETTINGS_DEFAULTS.peer.heartbeatMs, silenceMs: SETTINGS_DEFAULTS.peer.silenceMs },
   hostList: { pollMs: SETTINGS_DEFAULTS.hostList.pollMs },
   store: { leaseTtlMs: SETTINGS_DEFAULTS.store.leaseTtlMs }
 }
 
 /**
- * One gateway and one scheduler with thirty runners for speed; then a cell of today's size for what idling costs.
+ * Measures speed with one gateway, one scheduler and thirty runners; then the idle cost and a mixed load in a cell of today's size.
  *
- * @param args options for Node in the daemons, for example `--max-semi-space-size=2`
+ * @param args Node.js options for the daemons, for example `--max-semi-space-size=2`
  */
 export async function run (args: readonly string[]): Promise<void> {
-  const common = { settings: PRODUCT_SETTINGS, ...(args.length > 0 ? { nodeArgs: args } : {}) }
-  const small = await Cell.start({
+  const common = { settings: DEFAULT_SETTINGS, ...(args.length > 0 ? { nodeArgs: args } : {}) }
+  const speedCell = await Cell.start({
     ...common, regions: ['lakes-west'], runnersPerRegion: 30, workersPerRegion: 0, hostsPerRack: 30, runnerProcesses: 5
   })
   try {
-    await configureExamples(small.storeUrl)
-    await small.untilServed()
-    await measureSpeed(small)
+    await configureExamples(speedCell.storeUrl)
+    await speedCell.untilServed()
+    await measureSpeed(speedCell)
   } finally {
-    await small.dispose()
+    await speedCell.dispose()
   }
   const sizes = { gatewaysPerRegion: 3, schedulersPerRegion: 3, runnersPerRegion: 10, workersPerRegion: 10, hostsPerRack: 8 }
-  const today = await Cell.start({ ...common, ...sizes })
+  const fullCell = await Cell.start({ ...common, ...sizes })
   try {
-    await configureExamples(today.storeUrl)
-    await today.untilServed()
-    await today.untilSpread()
-    await measureIdle(today)
-    for (const line of await measureMixed(today)) print({ bench: 'path', measure: 'mixed', ...line })
+    await configureExamples(fullCell.storeUrl)
+    await fullCell.untilServed()
+    await fullCell.untilSpread()
+    await measureIdle(fullCell)
+    for (const line of await measureMixed(fullCell)) print({ bench: 'path', measure: 'mixed', ...line })
   } finally {
-    await today.dispose()
+    await fullCell.dispose()
   }
 }
--- a/bench/run.ts
+++ b/bench/run.ts
@@ -8,7 +8,7 @@
   run (args: readonly string[]): Promise<void>
 }
 
-/** A bench is loaded only when it is asked for, so that one of them needs nothing of the others. */
+/** Only the requested bench is loaded, so that a bench does not depend on the others. */
 const BENCHES: Readonly<Record<string, string>> = {
   cellLoad: './cellLoad.js',
   controller: './controller.js',
@@ -22,7 +22,7 @@
 const [name = '', ...args] = process.argv.slice(2)
 const file = BENCHES[name]
 if (file === undefined) {
-  stderr.write(`unknown bench "${name}"; there are: ${Object.keys(BENCHES).join(', ')}\n`)
+  stderr.write(`unknown bench "${name}"; the benches are: ${Object.keys(BENCHES).join(', ')}\n`)
   process.exitCode = 2
 } else {
   const bench = await import(file) as IBench
--- a/bench/slopes.ts
+++ b/bench/slopes.ts
@@ -1,6 +1,7 @@
 /**
- * `npm run bench -- slopes`: what one more host, task, request, shard, link or member costs. Each slope comes from three
- * sizes or more and is printed as one JSON line with the fit's error; docs/CAPACITY.md works the target out from them.
+ * `npm run bench -- slopes`: measures the cost of one more host, task, request, shard, link or member. Each slope is fitted to
+ * three or more sizes and printed as one JSON line with the error of the fit. docs/CAPACITY.md computes the cost at the target size
+ * from the slopes.
  *
  *     npm run bench -- slopes [engine config routing …]
  */
@@ -29,11 +30,11 @@
   idle: measureIdle
 }
 
-/** @param args the parts to measure; all, if none are named */
+/** @param args the names of the parts to measure; all parts if empty */
 export async function run (args: readonly string[]): Promise<void> {
   for (const name of args.length > 0 ? args : Object.keys(PARTS)) {
     const measure = PARTS[name]
-    if (measure === undefined) throw new Error(`no part "${name}"; there are: ${Object.keys(PARTS).join(', ')}`)
+    if (measure === undefined) throw new Error(`unknown part "${name}"; the parts are: ${Object.keys(PARTS).join(', ')}`)
     await measure()
   }
 }
--- a/bench/slopes/ClaimSlopes.ts
+++ b/bench/slopes/ClaimSlopes.ts
@@ -1,5 +1,6 @@
 /**
- * Claims and accepted jobs: store writes and bytes at growing rates, with the group commit of the shipped settings. In virtual time.
+ * Measures claims and accepted jobs in virtual time: store writes and bytes at growing rates, with the group commit of the default
+ * settings.
  */
 
 import { ManualClock } from '../../src/common/Clock.js'
@@ -13,10 +14,11 @@
 import type { IJobSpec } from '../../src/common/protocol/Types.js'
 
 const SHARD = 'ids/00'
-/** A second, for one id shard. */
-const CLAIMS = [2, 20, 200, 2_000]
-const JOBS = [1, 4, 16, 64]
-const TASKS_OF_JOB = [1, 16, 128]
+/** Claims a second of one id shard. */
+const CLAIM_RATES = [2, 20, 200, 2_000]
+/** Accepted jobs a second of one id shard. */
+const JOB_RATES = [1, 4, 16, 64]
+const TASKS_PER_JOB = [1, 16, 128]
 const ID_SHARDS = [8, 40, 160]
 const SECONDS = 5
 const STEP_MS = 10
@@ -32,7 +34,7 @@
   private readonly _clock = new ManualClock()
   private readonly _store = new MeteredStore(this._clock)
   private readonly _service: ClaimService
-  private _count = 0
+  private _sentCount = 0
 
   public constructor (idShardCount: number) {
     let nonces = 0
@@ -45,24 +47,24 @@
     })
   }
 
-  public async claims (perSecond: number): Promise<ICost> {
-    return await this._run(perSecond, async (id) => {
+  public async measureClaims (perSecond: number): Promise<ICost> {
+    return await this._measure(perSecond, async (id) => {
       await this._service.claim({ idShard: SHARD, claimKey: `k${id}-0123456789`, attemptId: `gateway-west-1:${id}`, holder: 'scheduler-west-2', ageMs: 0 })
     })
   }
 
-  public async jobs (perSecond: number, tasks: number): Promise<ICost> {
-    return await this._run(perSecond, async (id) => { await this._service.acceptJob(SHARD, jobOf(`job-${id}`, tasks)) })
+  public async measureJobs (perSecond: number, tasks: number): Promise<ICost> {
+    return await this._measure(perSecond, async (id) => { await this._service.acceptJob(SHARD, jobOf(`job-${id}`, tasks)) })
   }
 
-  private async _run (perSecond: number, send: (id: number) => Promise<void>): Promise<ICost> {
+  private async _measure (perSecond: number, send: (id: number) => Promise<void>): Promise<ICost> {
     await this._service.takeOver(SHARD, 1)
     this._store.reset()
     const pending: Array<Promise<void>> = []
     const usedUs = await processorUsOf(async () => {
       for (let step = 1; step <= SECONDS * MS_PER_SECOND / STEP_MS; step++) {
-        const due = step * STEP_MS / MS_PER_SECOND * perSecond
-        while (this._count < due) pending.push(send(this._count++))
+        const dueCount = step * STEP_MS / MS_PER_SECOND * perSecond
+        while (this._sentCount < dueCount) pending.push(send(this._sentCount++))
         this._clock.advance(STEP_MS)
         await settle()
       }
@@ -84,21 +86,21 @@
 
 export async function measureClaims (): Promise<void> {
   const claims: Array<readonly [number, ICost]> = []
-  for (const rate of CLAIMS) claims.push([rate, await new ClaimRig(SETTINGS_DEFAULTS.ids.idShards).claims(rate)])
+  for (const rate of CLAIM_RATES) claims.push([rate, await new ClaimRig(SETTINGS_DEFAULTS.ids.idShards).measureClaims(rate)])
   const jobs: Array<readonly [number, ICost]> = []
-  for (const rate of JOBS) jobs.push([rate, await new ClaimRig(SETTINGS_DEFAULTS.ids.idShards).jobs(rate, 1)])
+  for (const rate of JOB_RATES) jobs.push([rate, await new ClaimRig(SETTINGS_DEFAULTS.ids.idShards).measureJobs(rate, 1)])
   const tasks: Array<readonly [number, ICost]> = []
-  for (const size of TASKS_OF_JOB) tasks.push([size, await new ClaimRig(SETTINGS_DEFAULTS.ids.idShards).jobs(1, size)])
-  const writes = (costs: typeof claims): object => ({
+  for (const size of TASKS_PER_JOB) tasks.push([size, await new ClaimRig(SETTINGS_DEFAULTS.ids.idShards).measureJobs(1, size)])
+  const describeWrites = (costs: typeof claims): object => ({
     sizes: costs.map(([size]) => size),
     writesPerSecond: costs.map(([, cost]) => round(cost.writesPerSecond)),
     bytesPerWrite: costs.map(([, cost]) => round(cost.bytesPerSecond / cost.writesPerSecond))
   })
-  printFigures({ figure: 'claims a second of one id shard: store writes', ...writes(claims) })
+  printFigures({ figure: 'claims a second of one id shard: store writes', ...describeWrites(claims) })
   printSlope({ slope: 'claims: processor time per claim', unit: 'us', points: claims.map(([size, cost]) => [size, cost.usPerSecond]) })
-  printFigures({ figure: 'jobs accepted a second by one id shard: store writes', ...writes(jobs) })
+  printFigures({ figure: 'jobs accepted a second by one id shard: store writes', ...describeWrites(jobs) })
   printSlope({ slope: 'jobs: bytes written per task of a job', unit: 'bytes', points: tasks.map(([size, cost]) => [size, cost.bytesPerSecond]) })
   const shards: Array<readonly [number, ICost]> = []
-  for (const count of ID_SHARDS) shards.push([count, await new ClaimRig(count).claims(200)])
-  printFigures({ figure: 'id shards that share the write budget: commits of one of them', ...writes(shards) })
+  for (const count of ID_SHARDS) shards.push([count, await new ClaimRig(count).measureClaims(200)])
+  printFigures({ figure: 'id shards that share the write budget: commits of one of them', ...describeWrites(shards) })
 }
--- a/bench/slopes/EngineSlopes.ts
+++ b/bench/slopes/EngineSlopes.ts
@@ -1,9 +1,10 @@
 /**
- * The decision engine: memory per host, running task and queued request, and processor time per start at growing numbers of each.
+ * Measures the decision engine: memory per host, running task and queued request, and processor time per start at growing numbers
+ * of each.
  */
 
 import { SeededRandom } from '../../src/common/Random.js'
-import { GIB, hostsOf, pick } from '../decisions/Arrivals.js'
+import { GIB, hostsOf, pickWeighted } from '../decisions/Arrivals.js'
 import { LoadedEngine, taskItem } from '../decisions/LoadedEngine.js'
 import { heapBytes, processorUsOf } from './Readings.js'
 import { printSlope } from './Slope.js'
@@ -21,45 +22,45 @@
 
 type Points = Array<readonly [number, number]>
 
-/** One engine that is filled step by step. */
+/** An engine that gets more hosts step by step. */
 class GrowingEngine extends LoadedEngine {
-  private _hosts = 0
+  private _hostCount = 0
 
   public constructor () {
     const random = new SeededRandom(SEED)
-    super(random, (number, isLarge, nowMs) => toItem(number, isLarge, nowMs, random))
+    super(random, (number, isLarge, nowMs) => createItem(number, isLarge, nowMs, random))
   }
 
   public growHosts (hosts: readonly IEngineHost[]): void {
-    this.addHosts(hosts.slice(this._hosts))
-    this._hosts = hosts.length
+    this.addHosts(hosts.slice(this._hostCount))
+    this._hostCount = hosts.length
   }
 
-  public rounds (count: number): void {
-    for (let done = 0; done < count; done++) this.round(false)
+  public runRounds (count: number): void {
+    for (let done = 0; done < count; done++) this.runRound(false)
   }
 }
 
-function toItem (number: number, isLarge: boolean, nowMs: MonotonicMs, random: IRandom): IWorkItem {
-  const cores = isLarge ? WORKER.cores : pick(random, [[8, 2], [12, 1], [16, 1]])
+function createItem (number: number, isLarge: boolean, nowMs: MonotonicMs, random: IRandom): IWorkItem {
+  const cores = isLarge ? WORKER.cores : pickWeighted(random, [[8, 2], [12, 1], [16, 1]])
   return taskItem(number, cores, TEAMS, nowMs)
 }
 
 async function measureMemory (): Promise<void> {
   const hosts = hostsOf(HOSTS.at(-1) ?? 0, WORKER)
   const engine = new GrowingEngine()
-  const step = (sizes: readonly number[], grow: (size: number) => void): Points => sizes.map((size) => {
+  const measureSteps = (sizes: readonly number[], grow: (size: number) => void): Points => sizes.map((size) => {
     grow(size)
     return [size, heapBytes()]
   })
-  printSlope({ slope: 'engine: memory per host', unit: 'bytes', points: step(HOSTS, (size) => engine.growHosts(hosts.slice(0, size))) })
-  printSlope({ slope: 'engine: memory per running task', unit: 'bytes', points: step(RUNNING, (size) => engine.fill(size)) })
+  printSlope({ slope: 'engine: memory per host', unit: 'bytes', points: measureSteps(HOSTS, (size) => engine.growHosts(hosts.slice(0, size))) })
+  printSlope({ slope: 'engine: memory per running task', unit: 'bytes', points: measureSteps(RUNNING, (size) => engine.fillHosts(size)) })
   let queued = 0
   const queue = (size: number): void => {
-    engine.queue(size - queued)
+    engine.addQueued(size - queued)
     queued = size
   }
-  printSlope({ slope: 'engine: memory per queued request', unit: 'bytes', points: step(QUEUED, queue) })
+  printSlope({ slope: 'engine: memory per queued request', unit: 'bytes', points: measureSteps(QUEUED, queue) })
 }
 
 async function measureTime (): Promise<void> {
@@ -67,26 +68,26 @@
   for (const size of HOSTS) {
     const engine = new GrowingEngine()
     engine.growHosts(hostsOf(size, WORKER))
-    engine.fill(size * 4)
-    engine.rounds(ROUNDS)
-    perHosts.push([size, await processorUsOf(() => { engine.rounds(ROUNDS) }) / ROUNDS])
+    engine.fillHosts(size * 4)
+    engine.runRounds(ROUNDS)
+    perHosts.push([size, await processorUsOf(() => { engine.runRounds(ROUNDS) }) / ROUNDS])
   }
   printSlope({ slope: 'engine: time per start and end, by hosts', unit: 'us', points: perHosts })
   const engine = new GrowingEngine()
   engine.growHosts(hostsOf(HOSTS.at(-1) ?? 0, WORKER))
   const perTasks: Points = []
   for (const size of RUNNING) {
-    engine.fill(size * 0.8)
-    engine.rounds(ROUNDS)
-    perTasks.push([size * 0.8, await processorUsOf(() => { engine.rounds(ROUNDS) }) / ROUNDS])
+    engine.fillHosts(size * 0.8)
+    engine.runRounds(ROUNDS)
+    perTasks.push([size * 0.8, await processorUsOf(() => { engine.runRounds(ROUNDS) }) / ROUNDS])
   }
   printSlope({ slope: 'engine: time per start and end, by running tasks', unit: 'us', points: perTasks })
   const perQueued: Points = []
   let queued = 0
   for (const size of QUEUED) {
-    engine.queue(size - queued)
+    engine.addQueued(size - queued)
     queued = size
-    perQueued.push([size, await processorUsOf(() => { engine.rounds(ROUNDS) }) / ROUNDS])
+    perQueued.push([size, await processorUsOf(() => { engine.runRounds(ROUNDS) }) / ROUNDS])
   }
   printSlope({ slope: 'engine: time per start and end, by queued requests', unit: 'us', points: perQueued })
 }
--- a/bench/slopes/Hosts.ts
+++ b/bench/slopes/Hosts.ts
@@ -1,5 +1,5 @@
 /**
- * Host records of the benches.
+ * Host records and a logger without output, for the benches.
  */
 
 import type { ILogger } from '../../src/common/observability/Types.js'
--- a/bench/slopes/IdleSlopes.ts
+++ b/bench/slopes/IdleSlopes.ts
@@ -1,6 +1,6 @@
 /**
- * Whole processes that idle: store calls a second, bytes to peers, processor time and resident memory, by the number of
- * processes. The settings are those of the product.
+ * Measures idle processes at growing numbers of processes: store calls a second, bytes to peers, processor time and resident
+ * memory. The processes run with the default settings.
  */
 
 import { request } from 'undici'
@@ -15,9 +15,9 @@
 import type { ICellProcess } from '../../test/support/Cell.js'
 
 const REGION = 'lakes-west'
-/** Of each role. */
+/** The number of processes of each role. */
 const PROCESSES = [1, 2, 4]
-/** Newcomers get their shards one by one, from 5 s after they came. */
+/** A new process gets its shards one by one, from 5 s after its start. */
 const SETTLE_MS = 9_000
 const IDLE_MS = 7_000
 const MIB = 2 ** 20
@@ -28,7 +28,7 @@
   store: { leaseTtlMs: storeSettings.leaseTtlMs }
 }
 
-interface IIdle {
+interface IIdleReading {
   readonly role: ICellProcess['role']
   readonly peerBytes: number
   readonly cores: number
@@ -50,8 +50,8 @@
   readonly waitingWatches: number
 }
 
-/** Reads and writes while nothing happens, and how many watches wait; a watch asks again every 20 s, which is not counted here. */
-async function storeUse (cell: Cell, idleMs: number): Promise<IStoreUse> {
+/** Measures reads and writes while the cell is idle, and the waiting watches. A watch repeats its call every 20 s, which is not counted. */
+async function measureStoreUse (cell: Cell, idleMs: number): Promise<IStoreUse> {
   const before = await cell.dump<IStoreDump>(cell.storeUrl)
   await pause(idleMs)
   const { calls, waitingWatches } = await cell.dump<IStoreDump>(cell.storeUrl)
@@ -59,10 +59,10 @@
   return { callsPerSecond: count / idleMs * 1_000, waitingWatches }
 }
 
-async function idle (cell: Cell): Promise<{ readonly store: IStoreUse, readonly readings: readonly IIdle[] }> {
+async function readIdleCell (cell: Cell): Promise<{ readonly store: IStoreUse, readonly readings: readonly IIdleReading[] }> {
   await pause(cell.schedulers().length > 1 ? SETTLE_MS : SETTLE_MS / 3)
   const before = cell.processes.map(({ handle }) => processorMs(handle.pid))
-  const store = await storeUse(cell, IDLE_MS)
+  const store = await measureStoreUse(cell, IDLE_MS)
   const readings = await Promise.all(cell.processes.map(async (process, index) => {
     const usedMs = processorMs(process.handle.pid) - (before[index] ?? 0)
     const residentMiB = residentBytes(process.handle.pid) / MIB
@@ -87,17 +87,17 @@
     for (const count of PROCESSES) {
       for (let index = cell.schedulers().length; index < count; index++) await cell.startDaemon('scheduler', REGION, `scheduler-${REGION}-${index}`)
       for (let index = cell.gateways().length; index < count; index++) await cell.startDaemon('gateway', REGION, `gateway-${REGION}-${index}`)
-      const { store, readings } = await idle(cell)
+      const { store, readings } = await readIdleCell(cell)
       calls.push([count, store.callsPerSecond])
       watches.push([count, store.waitingWatches])
       for (const role of ['gateway', 'scheduler'] as const) {
-        const own = readings.filter((reading) => reading.role === role)
+        const roleReadings = readings.filter((reading) => reading.role === role)
         printFigures({
           figure: `idle ${role}`,
           ofEachRole: count,
-          peerBytesPerSecond: round(mean(own.map((reading) => reading.peerBytes))),
-          coreShare: round(mean(own.map((reading) => reading.cores))),
-          residentMiB: round(mean(own.map((reading) => reading.residentMiB)))
+          peerBytesPerSecond: round(mean(roleReadings.map((reading) => reading.peerBytes))),
+          coreShare: round(mean(roleReadings.map((reading) => reading.cores))),
+          residentMiB: round(mean(roleReadings.map((reading) => reading.residentMiB)))
         })
       }
     }
--- a/bench/slopes/LinkChild.ts
+++ b/bench/slopes/LinkChild.ts
@@ -1,5 +1,5 @@
 /**
- * The other ends of the links: as many hubs as asked for in one process, which answer calls with the body they got.
+ * The process at the other end of the links: runs the given number of hubs, which answer each call with the call's body.
  */
 
 import { SystemClock } from '../../src/common/Clock.js'
--- a/bench/slopes/LinkSlopes.ts
+++ b/bench/slopes/LinkSlopes.ts
@@ -1,5 +1,5 @@
 /**
- * Peer links: bytes and processor time of one end per idle link, per call and per KiB of body.
+ * Measures peer links: bytes and processor time of one end per idle link, per call and per KiB of body.
  */
 
 import { fork } from 'node:child_process'
@@ -29,7 +29,7 @@
 type Points = Array<readonly [number, number]>
 
 class LinkRig {
-  private _sent = 0
+  private _sentCount = 0
 
   private constructor (private readonly _child: ChildProcess, public readonly hub: PeerHub) {}
 
@@ -46,16 +46,16 @@
     return new LinkRig(child, hub)
   }
 
-  public bytes (): number {
+  public trafficBytes (): number {
     const { sentBytes, receivedBytes } = this.hub.traffic()
     return sentBytes + receivedBytes
   }
 
-  public async calls (count: number, bodyBytes: number): Promise<void> {
+  public async sendCalls (count: number, bodyBytes: number): Promise<void> {
     const link = this.hub.links()[0] as IPeerLink
     const body = Buffer.alloc(bodyBytes, 7)
-    let left = count
-    const caller = async (): Promise<void> => { while (left-- > 0) await this._call(link, body) }
+    let remaining = count
+    const caller = async (): Promise<void> => { while (remaining-- > 0) await this._sendCall(link, body) }
     await Promise.all(Array.from({ length: IN_FLIGHT }, caller))
   }
 
@@ -64,10 +64,10 @@
     this._child.disconnect()
   }
 
-  private async _call (link: IPeerLink, body: Uint8Array): Promise<void> {
-    this._sent += 1
-    const ask = { service: 'chip-lookup', caller: 'pawprint', idempotent: true, remainingMs: 950, contentType: 'application/json', body, ageMs: 0, hops: 0 }
-    const result = await link.call('submit', { ...ask, attemptId: `gw-3:${this._sent}`, requestId: `r-${this._sent}` }, TIMEOUT_MS)
+  private async _sendCall (link: IPeerLink, body: Uint8Array): Promise<void> {
+    this._sentCount += 1
+    const request = { service: 'chip-lookup', caller: 'pawprint', idempotent: true, remainingMs: 950, contentType: 'application/json', body, ageMs: 0, hops: 0 }
+    const result = await link.call('submit', { ...request, attemptId: `gw-3:${this._sentCount}`, requestId: `r-${this._sentCount}` }, TIMEOUT_MS)
     if (result.isErr()) throw result.error
   }
 }
@@ -78,9 +78,9 @@
   for (const links of LINKS) {
     const rig = await LinkRig.start(links)
     await pause(IDLE_MS / 3)
-    const before = rig.bytes()
+    const before = rig.trafficBytes()
     time.push([links, await processorUsPerSecond(IDLE_MS)])
-    bytes.push([links, (rig.bytes() - before) / IDLE_MS * 1_000])
+    bytes.push([links, (rig.trafficBytes() - before) / IDLE_MS * 1_000])
     rig.dispose()
   }
   printSlope({ slope: 'links: bytes of an idle link', unit: 'bytes/s', points: bytes })
@@ -90,16 +90,16 @@
 export async function measureLinks (): Promise<void> {
   await measureIdle()
   const rig = await LinkRig.start(1)
-  await rig.calls(CALLS.at(-1) ?? 0, 0)
+  await rig.sendCalls(CALLS.at(-1) ?? 0, 0)
   const time: Points = []
   const bytes: Points = []
   for (const calls of CALLS) {
-    const before = rig.bytes()
-    time.push([calls, await processorUsOf(async () => { await rig.calls(calls, 0) })])
-    bytes.push([calls, rig.bytes() - before])
+    const before = rig.trafficBytes()
+    time.push([calls, await processorUsOf(async () => { await rig.sendCalls(calls, 0) })])
+    bytes.push([calls, rig.trafficBytes() - before])
   }
   const perKib: Points = []
-  for (const size of BODY_KIB) perKib.push([size, await processorUsOf(async () => { await rig.calls(BODY_CALLS, size * KIB) }) / BODY_CALLS])
+  for (const size of BODY_KIB) perKib.push([size, await processorUsOf(async () => { await rig.sendCalls(BODY_CALLS, size * KIB) }) / BODY_CALLS])
   rig.dispose()
   printSlope({ slope: 'links: caller\'s processor time per call', unit: 'us', points: time })
   printSlope({ slope: 'links: bytes per call and reply without body', unit: 'bytes', points: bytes })
--- a/bench/slopes/MemberSlopes.ts
+++ b/bench/slopes/MemberSlopes.ts
@@ -1,10 +1,10 @@
 /**
- * Membership: bytes a second, as the bench of membership measures them, and processor time of one process per member.
+ * Measures membership: bytes a second, as in the membership bench, and processor time and memory of one process by members.
  */
 
 import { MEMBERSHIP_DEFAULTS } from '../../src/common/membership/Options.js'
 import { startedCluster } from '../../test/support/MembershipCluster.js'
-import { measure } from '../membership.js'
+import { measureMembership } from '../membership.js'
 import { heapBytes, processorUsOf } from './Readings.js'
 import { printSlope } from './Slope.js'
 
@@ -15,7 +15,7 @@
 const ROUNDS = 40
 
 export async function measureMembers (): Promise<void> {
-  const results = MEMBERS.map((members) => measure(members))
+  const results = MEMBERS.map((members) => measureMembership(members))
   printSlope({ slope: 'membership: bytes a second of one process, quiet', unit: 'bytes/s', points: results.map((result) => [result.members, result.quietBytesPerSecond]) })
   printSlope({
     slope: 'membership: bytes a second of one process while a region is lost', unit: 'bytes/s', points: results.map((result) => [result.members, result.regionLossBytesPerSecond])
@@ -26,11 +26,11 @@
   for (const members of MEMBERS) {
     const beforeBytes = heapBytes()
     const cluster = startedCluster(members, REGIONS, SEED)
-    const settle = (rounds: number) => (): void => { for (let round = 0; round < rounds; round++) cluster.step() }
-    settle(SETTLE_ROUNDS)()
+    const stepRounds = (rounds: number) => (): void => { for (let round = 0; round < rounds; round++) cluster.step() }
+    stepRounds(SETTLE_ROUNDS)()
     memory.push([members, (heapBytes() - beforeBytes) / members])
     const seconds = ROUNDS * MEMBERSHIP_DEFAULTS.gossipMs / 1_000
-    time.push([members, await processorUsOf(settle(ROUNDS)) / members / seconds])
+    time.push([members, await processorUsOf(stepRounds(ROUNDS)) / members / seconds])
   }
   printSlope({ slope: 'membership: processor time of one process, quiet, by members', unit: 'us/s', points: time })
   printSlope({ slope: 'membership: memory of one process, by members', unit: 'bytes', points: memory })
--- a/bench/slopes/MeteredStore.ts
+++ b/bench/slopes/MeteredStore.ts
@@ -1,5 +1,5 @@
 /**
- * A store in memory that counts calls and bytes written and, if asked, answers as late as the platform's does.
+ * An in-memory store that counts calls and written bytes and can delay its answers by the latency of the platform's store.
  */
 
 import { ResultAsync } from 'neverthrow'
@@ -15,8 +15,8 @@
   public writes = 0
   public writtenBytes = 0
 
-  public constructor (private readonly _late: ITimers, private readonly _latencyMs = 0) {
-    super(_late)
+  public constructor (private readonly _latencyTimers: ITimers, private readonly _latencyMs = 0) {
+    super(_latencyTimers)
   }
 
   public reset (): void {
@@ -27,24 +27,24 @@
 
   public override get (key: string): ResultAsync<IStoreRecord | undefined, StoreError> {
     this.reads += 1
-    return this._later(() => super.get(key))
+    return this._delay(() => super.get(key))
   }
 
   public override range (prefix: string): ResultAsync<IStoreRange, StoreError> {
     this.reads += 1
-    return this._later(() => super.range(prefix))
+    return this._delay(() => super.range(prefix))
   }
 
   public override compareAndSwap (key: string, expectedModRevision: number, value: string | undefined, leaseId?: string):
   ResultAsync<number, StoreError | ConflictError> {
     this.writes += 1
     this.writtenBytes += key.length + (value?.length ?? 0)
-    return this._later(() => super.compareAndSwap(key, expectedModRevision, value, leaseId))
+    return this._delay(() => super.compareAndSwap(key, expectedModRevision, value, leaseId))
   }
 
-  private _later<T, E> (call: () => ResultAsync<T, E>): ResultAsync<T, E> {
+  private _delay<T, E> (call: () => ResultAsync<T, E>): ResultAsync<T, E> {
     if (this._latencyMs === 0) return call()
-    const waited = new Promise<void>((resolve) => { this._late.after(this._latencyMs, resolve) })
-    return ResultAsync.fromSafePromise<void, E>(waited).andThen(call)
+    const latency = new Promise<void>((resolve) => { this._latencyTimers.after(this._latencyMs, resolve) })
+    return ResultAsync.fromSafePromise<void, E>(latency).andThen(call)
   }
 }
--- a/bench/slopes/Readings.ts
+++ b/bench/slopes/Readings.ts
@@ -1,18 +1,18 @@
 /**
- * What this process takes: heap after a full collection, and processor time of all its threads.
+ * Reads the resource use of this process: heap after a full garbage collection, and processor time of all threads.
  */
 
 import { setFlagsFromString } from 'node:v8'
 import { runInNewContext } from 'node:vm'
 
 setFlagsFromString('--expose-gc')
-const collect = runInNewContext('gc') as () => void
+const collectGarbage = runInNewContext('gc') as () => void
 
 const US_PER_MS = 1_000
 
 export function heapBytes (): number {
-  collect()
-  collect()
+  collectGarbage()
+  collectGarbage()
   return process.memoryUsage().heapUsed
 }
 
@@ -21,15 +21,15 @@
   return user + system
 }
 
-/** Processor time of `work`, in microseconds, after a collection so that earlier garbage isn't counted. */
+/** Measures the processor time of `work` in microseconds. A garbage collection before it keeps earlier garbage out of the figure. */
 export async function processorUsOf (work: () => Promise<unknown> | void): Promise<number> {
-  collect()
+  collectGarbage()
   const before = processorUs()
   await work()
   return processorUs() - before
 }
 
-/** Processor time that this process takes in `windowMs`, in microseconds a second. */
+/** Measures the processor time of this process over `windowMs`, in microseconds a second. */
 export async function processorUsPerSecond (windowMs: number): Promise<number> {
   const startMs = performance.now()
   const usedUs = await processorUsOf(async () => { await pause(windowMs) })
--- a/bench/slopes/RoutingSlopes.ts
+++ b/bench/slopes/RoutingSlopes.ts
@@ -1,5 +1,5 @@
 /**
- * Load summaries: bytes per shard on a link, and what keeping and choosing among them costs a router.
+ * Measures load summaries: bytes per shard on a link, and the cost for a router to store them and to choose a scheduler from them.
  */
 
 import { Packr } from 'msgpackr'
@@ -14,8 +14,8 @@
 
 const SHARDS = [10, 40, 160]
 const SCHEDULERS = [30, 120, 480]
-const SHARDS_EACH = 20
-const CHOICES = 5_000
+const SHARDS_PER_SCHEDULER = 20
+const REPETITIONS = 5_000
 const REGIONS = 5
 const SUMMARY_ROUNDS = 20
 const EXCLUDED = new Set<string>()
@@ -55,7 +55,7 @@
 
 function filledRouter (schedulers: number): SchedulerRouter {
   const router = new SchedulerRouter('region-0', new SeededRandom(1))
-  for (let index = 0; index < schedulers; index++) router.noteSummary(summaryOf(index, SHARDS_EACH, 0))
+  for (let index = 0; index < schedulers; index++) router.noteSummary(summaryOf(index, SHARDS_PER_SCHEDULER, 0))
   return router
 }
 
@@ -65,14 +65,14 @@
     const writer = new Packr({ sequential: true })
     const reader = new Packr({ sequential: true })
     const router = new SchedulerRouter('region-0', new SeededRandom(1))
-    const pass = (): void => {
-      for (let index = 0; index < CHOICES / SUMMARY_ROUNDS; index++) {
+    const applySummaries = (): void => {
+      for (let index = 0; index < REPETITIONS / SUMMARY_ROUNDS; index++) {
         router.noteSummary(reader.unpack(writer.pack(summaryOf(index, shards, 0))) as ILoadSummary)
       }
     }
-    pass()
-    const usedUs = await processorUsOf(() => { for (let round = 0; round < SUMMARY_ROUNDS; round++) pass() })
-    points.push([shards, usedUs / CHOICES])
+    applySummaries()
+    const usedUs = await processorUsOf(() => { for (let round = 0; round < SUMMARY_ROUNDS; round++) applySummaries() })
+    points.push([shards, usedUs / REPETITIONS])
   }
   return points
 }
@@ -90,14 +90,14 @@
     const router = filledRouter(schedulers)
     routers.push(router)
     memory.push([schedulers, heapBytes() - beforeBytes])
-    const choose = (): void => { for (let done = 0; done < CHOICES; done++) router.choose({ profile, excluded: EXCLUDED }) }
+    const choose = (): void => { for (let done = 0; done < REPETITIONS; done++) router.choose({ profile, excluded: EXCLUDED }) }
     choose()
-    choice.push([schedulers, await processorUsOf(choose) / CHOICES])
-    const find = (): void => { for (let done = 0; done < CHOICES / 10; done++) router.ownerOf('workers/rack-7-19') }
+    choice.push([schedulers, await processorUsOf(choose) / REPETITIONS])
+    const find = (): void => { for (let done = 0; done < REPETITIONS / 10; done++) router.ownerOf('workers/rack-7-19') }
     find()
-    owner.push([schedulers, await processorUsOf(find) / (CHOICES / 10)])
+    owner.push([schedulers, await processorUsOf(find) / (REPETITIONS / 10)])
   }
-  printSlope({ slope: `router: memory per scheduler of ${SHARDS_EACH} shards`, unit: 'bytes', points: memory })
+  printSlope({ slope: `router: memory per scheduler of ${SHARDS_PER_SCHEDULER} shards`, unit: 'bytes', points: memory })
   printSlope({ slope: 'router: time per choice, by schedulers', unit: 'us', points: choice })
-  printSlope({ slope: `router: time to find a shard's owner, by schedulers of ${SHARDS_EACH} shards`, unit: 'us', points: owner })
+  printSlope({ slope: `router: time to find a shard's owner, by schedulers of ${SHARDS_PER_SCHEDULER} shards`, unit: 'us', points: owner })
 }
--- a/bench/slopes/RunnerSlopes.ts
+++ b/bench/slopes/RunnerSlopes.ts
@@ -1,5 +1,5 @@
 /**
- * Runners and the host list: what asking each runner for its status costs, and what reading the whole list costs.
+ * Measures the cost of asking each runner for its status, and of reading the whole host list.
  */
 
 import { request } from 'undici'
--- a/bench/slopes/Slope.ts
+++ b/bench/slopes/Slope.ts
@@ -1,12 +1,12 @@
 /**
- * One measured slope: values at several sizes, the least-squares line through them and how well it fits.
+ * Prints a measured slope: the values at several sizes, the least-squares line through them and the error of the fit.
  */
 
 export interface ISeries {
   readonly slope: string
-  /** Of the values; the slope is this for one more of what the sizes count. */
+  /** The unit of the values. The slope has this unit per one more of the things that the sizes count. */
   readonly unit: string
-  /** Sizes with the value measured at each. */
+  /** Pairs of a size and the value measured at this size. */
   readonly points: ReadonlyArray<readonly [number, number]>
 }
 
@@ -27,7 +27,7 @@
   }))
 }
 
-/** Prints figures that are not a line, for example one that is bounded by a budget. */
+/** Prints figures that do not lie on a line, for example because a budget bounds them. */
 export function printFigures (figures: Readonly<Record<string, unknown>>): void {
   console.log(JSON.stringify({ bench: 'slopes', ...figures }))
 }
@@ -41,8 +41,8 @@
 function leastSquares (points: ISeries['points']): IFit {
   const meanX = mean(points.map(([x]) => x))
   const meanY = mean(points.map(([, y]) => y))
-  const spread = points.reduce((sum, [x]) => sum + (x - meanX) ** 2, 0)
-  const perUnit = points.reduce((sum, [x, y]) => sum + (x - meanX) * (y - meanY), 0) / spread
+  const sumXX = points.reduce((sum, [x]) => sum + (x - meanX) ** 2, 0)
+  const perUnit = points.reduce((sum, [x, y]) => sum + (x - meanX) * (y - meanY), 0) / sumXX
   const intercept = meanY - perUnit * meanX
   const residual = points.reduce((sum, [x, y]) => sum + (y - intercept - perUnit * x) ** 2, 0)
   const fitError = Math.sqrt(residual / Math.max(1, points.length - 2)) / Math.abs(meanY)
--- a/bench/slopes/SocketMeter.ts
+++ b/bench/slopes/SocketMeter.ts
@@ -1,5 +1,5 @@
 /**
- * Bytes of payload on all connections that `undici` opens while this meter stands; headers of TCP and IP not included.
+ * Counts the bytes on all connections that `undici` opens during the lifetime of the meter, without TCP and IP headers.
  */
 
 import { subscribe, unsubscribe } from 'node:diagnostics_channel'
--- a/bench/slopes/TakeoverSlopes.ts
+++ b/bench/slopes/TakeoverSlopes.ts
@@ -1,6 +1,6 @@
 /**
- * Takeovers: store calls, time and processor time per shard whose owner has died, against a store that answers in
- * milliseconds; what an id shard's log costs to read; and what the proposal of owners costs per shard.
+ * Measures takeovers: store calls, time and processor time per shard whose owner has stopped, with a store that answers in
+ * milliseconds; and the processor time of proposing owners per shard and per scheduler.
  */
 
 import { SystemClock } from '../../src/common/Clock.js'
@@ -17,7 +17,7 @@
 import type { IShardSpec } from '../../src/common/state/Types.js'
 
 const SHARDS = [60, 240, 720]
-const PROPOSED = [450, 900, 1_800, 3_600]
+const PROPOSED_SHARDS = [450, 900, 1_800, 3_600]
 const PROPOSALS = 20
 const MEMBERS = [30, 120, 480]
 const STORE_LATENCY_MS = 5
@@ -32,7 +32,7 @@
   readonly owner: ShardOwner
 }
 
-function racks (count: number): readonly IShardSpec[] {
+function rackShards (count: number): readonly IShardSpec[] {
   return Array.from({ length: count }, (_, index) => ({ shardId: `workers/region-${index % REGIONS}-rack-${index}`, kind: 'workers', region: `region-${index % REGIONS}` }))
 }
 
@@ -52,15 +52,15 @@
   return { member, owner }
 }
 
-async function untilHeld ({ owner }: IProcess, count: number): Promise<void> {
+async function waitUntilHeld ({ owner }: IProcess, count: number): Promise<void> {
   const untilMs = performance.now() + LIMIT_MS
   while (owner.held().length < count) {
-    if (performance.now() > untilMs) throw new Error(`only ${owner.held().length} of ${count} shards are taken over`)
+    if (performance.now() > untilMs) throw new Error(`only ${owner.held().length} of ${count} shards were taken over in time`)
     await pause(POLL_MS)
   }
 }
 
-async function stop ({ member, owner }: IProcess): Promise<void> {
+async function stopProcess ({ member, owner }: IProcess): Promise<void> {
   await member.stop()
   member.dispose()
   owner.dispose()
@@ -73,21 +73,21 @@
   const memory: Points = []
   for (const count of SHARDS) {
     const store = new MeteredStore(new SystemClock(), STORE_LATENCY_MS)
-    const shards = racks(count)
+    const shards = rackShards(count)
     const first = startOwner('scheduler-1', store, hash, shards)
-    await untilHeld(first, count)
-    await stop(first)
+    await waitUntilHeld(first, count)
+    await stopProcess(first)
     store.reset()
     const beforeBytes = heapBytes()
     const startMs = performance.now()
     const beforeUs = processorUs()
     const second = startOwner('scheduler-2', store, hash, shards)
-    await untilHeld(second, count)
+    await waitUntilHeld(second, count)
     processor.push([count, processorUs() - beforeUs])
     time.push([count, performance.now() - startMs])
     calls.push([count, store.reads + store.writes])
     memory.push([count, heapBytes() - beforeBytes])
-    await stop(second)
+    await stopProcess(second)
   }
   printSlope({ slope: 'takeover by one process: store calls per shard', unit: 'calls', points: calls })
   printSlope({ slope: `takeover by one process: time per shard, store answers in ${STORE_LATENCY_MS} ms`, unit: 'ms', points: time })
@@ -106,11 +106,11 @@
     return await processorUsOf(() => { for (let time = 0; time < PROPOSALS; time++) propose() }) / PROPOSALS
   }
   const perShard: Points = []
-  for (const count of PROPOSED) perShard.push([count, await costOf(racks(count), MEMBERS[0] ?? 0)])
+  for (const count of PROPOSED_SHARDS) perShard.push([count, await costOf(rackShards(count), MEMBERS[0] ?? 0)])
   const perMember: Points = []
-  for (const members of MEMBERS) perMember.push([members, await costOf(racks(PROPOSED.at(-1) ?? 0), members)])
+  for (const members of MEMBERS) perMember.push([members, await costOf(rackShards(PROPOSED_SHARDS.at(-1) ?? 0), members)])
   printSlope({ slope: `ownership: time of one proposal per shard, ${MEMBERS[0]} schedulers`, unit: 'us', points: perShard })
-  printSlope({ slope: `ownership: time of one proposal of ${PROPOSED.at(-1)} shards per scheduler`, unit: 'us', points: perMember })
+  printSlope({ slope: `ownership: time of one proposal of ${PROPOSED_SHARDS.at(-1)} shards per scheduler`, unit: 'us', points: perMember })
 }
 
 export async function measureTakeover (): Promise<void> {
--- a/bench/slopes/WorkerSlopes.ts
+++ b/bench/slopes/WorkerSlopes.ts
@@ -1,6 +1,6 @@
 /**
- * Workers: bytes and processor time of the real sessions and client, against stand-ins in another process, per host and
- * per running task while nothing happens, and per task that starts and ends; memory per host.
+ * Measures the real worker sessions and client against stand-ins in another process: bytes and processor time per idle host,
+ * per running task and per task that starts and ends; and memory per host.
  */
 
 import { SystemClock } from '../../src/common/Clock.js'
@@ -19,7 +19,7 @@
 const TASKS = [2, 6, 14]
 const TASK_HOSTS = 160
 const STARTS_PER_SECOND = [100, 300, 900]
-/** One long poll of each host, and a little. */
+/** Slightly longer than one long poll of each host. */
 const QUIET_MS = 5_050
 const STARTS_MS = 2_000
 const SHORT_RUN_MS = 300
@@ -36,7 +36,7 @@
   onFenced: () => {}
 }
 
-interface IQuiet {
+interface IReading {
   readonly bytesPerSecond: number
   readonly usPerSecond: number
 }
@@ -44,7 +44,7 @@
 class WorkerRig {
   private readonly _client = new WorkerClient()
   private readonly _meter = new SocketMeter()
-  private _started = 0
+  private _startedCount = 0
 
   private constructor (private readonly _standIns: ProcessHandle, private readonly _sessions: readonly WorkerSession[]) {}
 
@@ -67,23 +67,23 @@
   }
 
   public startTasks (perHost: number): void {
-    for (const session of this._sessions) for (let task = 0; task < perHost; task++) this._startOne(session, undefined)
+    for (const session of this._sessions) for (let task = 0; task < perHost; task++) this._startTask(session, undefined)
   }
 
-  public async quiet (): Promise<IQuiet> {
+  public async measureQuiet (): Promise<IReading> {
     const bytes = this._meter.bytes
     const startMs = performance.now()
     const usPerSecond = await processorUsPerSecond(QUIET_MS)
     return { usPerSecond, bytesPerSecond: (this._meter.bytes - bytes) / (performance.now() - startMs) * MS_PER_SECOND }
   }
 
-  /** Starts short tasks at this rate, one call each, as far as they don't come within one turn. */
-  public async starting (perSecond: number): Promise<IQuiet> {
+  /** Starts short tasks at this rate, with one call for each task unless several start in one turn of the event loop. */
+  public async measureStarts (perSecond: number): Promise<IReading> {
     const startMs = performance.now()
     let started = 0
     const timer = setInterval(() => {
       const due = Math.floor((performance.now() - startMs) / MS_PER_SECOND * perSecond)
-      for (; started < due; started++) this._startOne(this._sessions[started % this._sessions.length] as WorkerSession, SHORT_RUN_MS)
+      for (; started < due; started++) this._startTask(this._sessions[started % this._sessions.length] as WorkerSession, SHORT_RUN_MS)
     }, TICK_MS)
     const bytes = this._meter.bytes
     const usPerSecond = await processorUsPerSecond(STARTS_MS)
@@ -98,44 +98,44 @@
     await this._standIns.kill()
   }
 
-  private _startOne (session: WorkerSession, runMs: number | undefined): void {
-    this._started += 1
+  private _startTask (session: WorkerSession, runMs: number | undefined): void {
+    this._startedCount += 1
     const resources = { cores: 1, memoryBytes: 2 ** 20, accelerators: 0 }
-    session.start({ jobId: `job-${this._started}`, taskId: 'task-0', attempt: 1, service: 'match-model', resources, runMs })
+    session.start({ jobId: `job-${this._startedCount}`, taskId: 'task-0', attempt: 1, service: 'match-model', resources, runMs })
   }
 }
 
-function print (slope: string, points: ReadonlyArray<readonly [number, IQuiet]>): void {
+function printSlopes (slope: string, points: ReadonlyArray<readonly [number, IReading]>): void {
   printSlope({ slope: `${slope}, bytes a second`, unit: 'bytes/s', points: points.map(([size, { bytesPerSecond }]) => [size, bytesPerSecond]) })
   printSlope({ slope: `${slope}, processor time`, unit: 'us/s', points: points.map(([size, { usPerSecond }]) => [size, usPerSecond]) })
 }
 
-async function measureRunning (rig: WorkerRig, perTask: Array<readonly [number, IQuiet]>): Promise<void> {
+async function measureRunning (rig: WorkerRig, perTask: Array<readonly [number, IReading]>): Promise<void> {
   for (const [index, tasks] of TASKS.entries()) {
     rig.startTasks(tasks - (TASKS[index - 1] ?? 0))
     await pause(MS_PER_SECOND)
-    perTask.push([tasks * TASK_HOSTS, await rig.quiet()])
+    perTask.push([tasks * TASK_HOSTS, await rig.measureQuiet()])
   }
 }
 
 export async function measureWorkers (): Promise<void> {
-  const perHost: Array<readonly [number, IQuiet]> = []
-  const perTask: Array<readonly [number, IQuiet]> = []
-  const perStart: Array<readonly [number, IQuiet]> = []
+  const perHost: Array<readonly [number, IReading]> = []
+  const perTask: Array<readonly [number, IReading]> = []
+  const perStart: Array<readonly [number, IReading]> = []
   const memory: Array<readonly [number, number]> = []
   for (const hosts of HOSTS) {
     const beforeBytes = heapBytes()
     const rig = await WorkerRig.start(hosts)
     memory.push([hosts, heapBytes() - beforeBytes])
-    perHost.push([hosts, await rig.quiet()])
+    perHost.push([hosts, await rig.measureQuiet()])
     if (hosts === TASK_HOSTS) {
-      for (const rate of STARTS_PER_SECOND) perStart.push([rate, await rig.starting(rate)])
+      for (const rate of STARTS_PER_SECOND) perStart.push([rate, await rig.measureStarts(rate)])
       await measureRunning(rig, perTask)
     }
     await rig.dispose()
   }
   printSlope({ slope: 'workers: heap per session with its connections', unit: 'bytes', points: memory })
-  print('workers: per host', perHost)
-  print('workers: per running task', perTask)
-  print('workers: per start and end a second', perStart)
+  printSlopes('workers: per host', perHost)
+  printSlopes('workers: per running task', perTask)
+  printSlopes('workers: per start and end a second', perStart)
 }
