--- a/spec/GangSpec.ts
+++ b/spec/GangSpec.ts
@@ -11,7 +11,7 @@
 
 import type { GangCommand, IGangSnapshot } from '../src/common/state/GangReservation.js'
 import type { ITryFenceSnapshot } from '../src/common/state/TryFence.js'
-import type { IPlaceTask } from '../src/common/protocol/Types.js'
+import type { IPlaceTaskRequest } from '../src/common/protocol/Types.js'
 import type { ISpec, ISpecEvent } from './Model.js'
 
 const JOBS = ['g1', 'g2'] as const
@@ -59,7 +59,7 @@
   faults: number
 }
 
-function tasksOf (job: JobName): readonly IPlaceTask[] {
+function tasksOf (job: JobName): readonly IPlaceTaskRequest[] {
   return ['a', 'b'].map((id) => ({
     jobId: job,
     service: 's',
--- a/src/cell/OwnerRoute.ts
+++ b/src/cell/OwnerRoute.ts
@@ -171,7 +171,7 @@
 
   /** Asks the owner, and the next owner if the first one no longer owns the cell and so can't answer. Only for requests that may be repeated. */
   private async _askOwner<N extends CallName, T>(
-    name: N, ask: IPeerCalls[N]['ask'], askLocal: (owner: ILocalOwner) => Promise<T | undefined>,
+    name: N, ask: IPeerCalls[N]['request'], askLocal: (owner: ILocalOwner) => Promise<T | undefined>,
     readReply: (reply: IPeerCalls[N]['reply']) => T | undefined
   ): Promise<T | undefined> {
     const untilMs = this._clock.nowMs() + OWNER_WAIT_MS
--- a/src/common/membership/Membership.test.ts
+++ b/src/common/membership/Membership.test.ts
@@ -111,16 +111,16 @@
   const cluster = startedCluster(40, 1, SEED, (_from, _to, cast) => {
     suspicions += cast.news.filter((news) => news.state === 'suspect').length
   })
-  for (const node of cluster.running()) node.membership.storeReachable(true)
+  for (const node of cluster.running()) node.membership.onStoreReachable(true)
   runSteps(cluster, 80)
-  for (const node of cluster.running()) node.membership.storeReachable(false)
+  for (const node of cluster.running()) node.membership.onStoreReachable(false)
   runSteps(cluster, 20)
   for (const node of cluster.running()) {
-    node.membership.storeReachable(true)
-    node.membership.storeAll([])
+    node.membership.onStoreReachable(true)
+    node.membership.onStoreSnapshot([])
   }
   runSteps(cluster, 20)
-  for (const node of cluster.running()) node.membership.storeAll(cluster.running().map((other) => ({ ...other.self, state: 'alive' })))
+  for (const node of cluster.running()) node.membership.onStoreSnapshot(cluster.running().map((other) => ({ ...other.self, state: 'alive' })))
   runSteps(cluster, 80)
   t.is(suspicions, 0)
   t.true(cluster.isConverged())
@@ -129,9 +129,9 @@
 test('a record that is missing in the store makes a member suspect, and a member that is alive refutes this', (t) => {
   // A lease expires although its holder is alive, because the renewals were slow. The member must remain in use.
   const cluster = settledCluster(9)
-  for (const node of cluster.running()) node.membership.storeReachable(true)
+  for (const node of cluster.running()) node.membership.onStoreReachable(true)
   runSteps(cluster, 80)
-  for (const node of cluster.running()) node.membership.storeAbsent('p3')
+  for (const node of cluster.running()) node.membership.onStoreAbsent('p3')
   runSteps(cluster, 60)
   t.true(cluster.isConverged())
 })
@@ -147,9 +147,9 @@
   if (a === undefined || b === undefined) return t.fail()
   runSteps(cluster, 4)
   for (let flap = 0; flap < 20; flap++) {
-    a.membership.linkLost(b.self)
+    a.membership.onLinkLost(b.self)
     runSteps(cluster, 6)
-    a.membership.linkUp(b.self)
+    a.membership.onLinkUp(b.self)
     runSteps(cluster, 1)
   }
   t.true(reports.filter((round) => round > 40).length <= reports.filter((round) => round <= 40).length)
@@ -161,7 +161,7 @@
   // p2 returns, p3 must not return to the member lists.
   const cluster = new MembershipCluster(SEED, { forgetMs: 5_000 })
   const nodes = ['p0', 'p1', 'p2', 'p3'].map((id) => cluster.start(id, 'r0'))
-  for (const node of nodes) for (const other of nodes) node.membership.storePresent({ ...other.self, state: 'alive' })
+  for (const node of nodes) for (const other of nodes) node.membership.onStorePresent({ ...other.self, state: 'alive' })
   runSteps(cluster, 10)
   cluster.node('p2').state = 'paused'
   cluster.node('p3').state = 'killed'
@@ -199,7 +199,7 @@
   if (kind === 'restart') cluster.start(at, node.self.region, cluster.nodes.values())
   if (kind === 'cut') cluster.cut(at, to)
   if (kind === 'heal') cluster.healAll()
-  if (kind === 'storeAbsent') for (const other of cluster.running()) other.membership.storeAbsent(at)
+  if (kind === 'storeAbsent') for (const other of cluster.running()) other.membership.onStoreAbsent(at)
   cluster.clock.advance(1)
   runSteps(cluster, kind === 'steps' ? count : 1)
 }
--- a/src/common/membership/Membership.ts
+++ b/src/common/membership/Membership.ts
@@ -72,7 +72,7 @@
   }
 
   /** The current statement about a process in the shared view, regardless of the links of this process. For the state dump. */
-  public standing (processId: string): IMemberNews | undefined {
+  public statementOf (processId: string): IMemberNews | undefined {
     return this._view.statementOf(processId)
   }
 
@@ -87,21 +87,21 @@
   }
 
   /** Called when a link to this peer is up. Returns the first cast to send on it. */
-  public linkUp (peer: IProcessIdentity): IMembersCast | undefined {
+  public onLinkUp (peer: IProcessIdentity): IMembersCast | undefined {
     this._links.recordUp(peer, this._awakeClock.awakeMs)
     this._localMembers.refresh(peer.processId)
     return this._gossip.createGreeting(peer.processId)
   }
 
   /** Called when a link has failed or could not be established. */
-  public linkLost (peer: IProcessIdentity): void {
+  public onLinkLost (peer: IProcessIdentity): void {
     this._links.recordLost(peer, this._awakeClock.awakeMs)
     this._localMembers.refresh(peer.processId)
   }
 
   /** Called when a link was closed on purpose. If the peer is leaving, it has most likely stopped. */
-  public linkReleased (peer: IProcessIdentity): void {
-    if (this._view.get(peer.processId)?.state === 'leaving') return this.linkLost(peer)
+  public onLinkReleased (peer: IProcessIdentity): void {
+    if (this._view.get(peer.processId)?.state === 'leaving') return this.onLinkLost(peer)
     this._links.recordReleased(peer)
     this._localMembers.refresh(peer.processId)
   }
@@ -112,23 +112,23 @@
   }
 
   /** Called when the store becomes reachable or unreachable. */
-  public storeReachable (reachable: boolean): void {
+  public onStoreReachable (reachable: boolean): void {
     this._store.recordReachable(reachable, this._awakeClock.awakeMs)
   }
 
   /** Called when the store contains this record. */
-  public storePresent (member: IMember): void {
+  public onStorePresent (member: IMember): void {
     this._store.recordPresent(member)
     this._putFromStore(member)
   }
 
   /** Called when the store no longer contains the record of a process. */
-  public storeAbsent (processId: string): void {
+  public onStoreAbsent (processId: string): void {
     this._store.recordAbsent(processId)
   }
 
   /** Called with all records of the store, after a gap in the watch. */
-  public storeAll (members: readonly IMember[]): void {
+  public onStoreSnapshot (members: readonly IMember[]): void {
     this._store.recordAll(members)
     for (const member of members) this._putFromStore(member)
   }
--- a/src/common/protocol/Shapes.ts
+++ b/src/common/protocol/Shapes.ts
@@ -232,7 +232,7 @@
 type ShapeOutput<S extends Shape> = DeepReadonly<z.output<S>>
 /** The names of the calls whose types do not match their shapes. */
 type MismatchedCalls = { [N in PeerCallName]:
-  [IPeerCalls[N]['ask'], IPeerCalls[N]['reply']] extends [ShapeOutput<typeof callShapes[N]['request']>, ShapeOutput<typeof callShapes[N]['reply']>] ? never : N
+  [IPeerCalls[N]['request'], IPeerCalls[N]['reply']] extends [ShapeOutput<typeof callShapes[N]['request']>, ShapeOutput<typeof callShapes[N]['reply']>] ? never : N
 }[PeerCallName]
 type MismatchedCasts = { [N in PeerCastName]: IPeerCasts[N] extends ShapeOutput<typeof castShapes[N]> ? never : N }[PeerCastName]
 type AssertNever<T extends never> = T
--- a/src/common/protocol/Types.ts
+++ b/src/common/protocol/Types.ts
@@ -143,7 +143,7 @@
   readonly tasks: readonly ITaskSpec[]
 }
 
-export interface ITaskPlace {
+export interface ITaskPlacement {
   readonly taskId: string
   readonly attempt: number
   /**
@@ -161,16 +161,16 @@
   readonly caller: string
   readonly state: JobState
   readonly reason?: string
-  readonly tasks: readonly ITaskPlace[]
+  readonly tasks: readonly ITaskPlacement[]
 }
 
 export interface ITaskUpdate {
   readonly jobId: string
-  readonly place: ITaskPlace
+  readonly place: ITaskPlacement
 }
 
 /** Requests that a scheduler place one task on any of its workers. */
-export interface IPlaceTask {
+export interface IPlaceTaskRequest {
   readonly jobId: string
   readonly service: string
   readonly caller: string
@@ -185,9 +185,9 @@
 }
 
 /** Requests that a scheduler start these tasks together on its workers, if there is room for all of them. */
-export interface IPlaceGroup {
+export interface IPlaceGroupRequest {
   readonly jobId: string
-  readonly tasks: readonly IPlaceTask[]
+  readonly tasks: readonly IPlaceTaskRequest[]
 }
 
 export interface IPlaceReply {
@@ -197,7 +197,7 @@
 }
 
 /** Requests all tasks that a scheduler holds of the jobs of one id shard. */
-export interface ITasksOfAsk {
+export interface ITasksOfRequest {
   readonly idShard: string
   /** The epoch of the requesting owner. From now on commands with an older epoch are refused. */
   readonly ownerEpoch: number
@@ -216,7 +216,7 @@
 /** Requests that a scheduler reserve resources for tasks of an all-at-once job, without starting the tasks. */
 export interface IReserveRequest {
   readonly jobId: string
-  readonly tasks: readonly IPlaceTask[]
+  readonly tasks: readonly IPlaceTaskRequest[]
   /** Time after which the reservation expires. */
   readonly expiresMs: number
   /** Increases with each try of the job. A scheduler keeps the reservation of one try and ignores commands of earlier tries. */
@@ -234,7 +234,7 @@
   readonly reservedTaskIds: readonly string[]
 }
 
-export interface ICancelTask {
+export interface ICancelTaskRequest {
   readonly jobId: string
   readonly taskId: string
   /** Cancels only this attempt. If undefined, any attempt is cancelled. */
@@ -262,7 +262,7 @@
 }
 
 /** Requests that a machine call the advice service, which handles the calls of each machine one after the other. */
-export interface ICellAdviceAsk extends IAdviceRequest {
+export interface ICellAdviceRequest extends IAdviceRequest {
   readonly timeoutMs: number
 }
 
@@ -297,44 +297,44 @@
 
 /** The calls by name, each with its request and its reply. */
 export interface IPeerCalls {
-  readonly submit: { readonly ask: ISubmitRequest, readonly reply: IFinalAnswer }
-  readonly cancel: { readonly ask: { readonly attemptId: string }, readonly reply: { readonly cancelled: boolean } }
-  readonly claim: { readonly ask: IClaimRequest, readonly reply: ClaimReply }
-  readonly block: { readonly ask: IClaimRequest, readonly reply: BlockReply }
-  readonly release: { readonly ask: IClaimRequest, readonly reply: { readonly released: boolean } }
+  readonly submit: { readonly request: ISubmitRequest, readonly reply: IFinalAnswer }
+  readonly cancel: { readonly request: { readonly attemptId: string }, readonly reply: { readonly cancelled: boolean } }
+  readonly claim: { readonly request: IClaimRequest, readonly reply: ClaimReply }
+  readonly block: { readonly request: IClaimRequest, readonly reply: BlockReply }
+  readonly release: { readonly request: IClaimRequest, readonly reply: { readonly released: boolean } }
   /** Waits for the final answer of an attempt that the called process holds. */
-  readonly outcomeOf: { readonly ask: { readonly attemptId: string, readonly waitMs: number }, readonly reply: IFinalAnswer }
-  readonly submitJob: { readonly ask: IJobSpec, readonly reply: IFinalAnswer }
-  readonly jobStatus: { readonly ask: { readonly jobId: string }, readonly reply: { readonly status?: IJobStatus, readonly owner: boolean } }
-  readonly cancelJob: { readonly ask: { readonly jobId: string }, readonly reply: { readonly status?: IJobStatus, readonly owner: boolean } }
-  readonly placeTask: { readonly ask: IPlaceTask, readonly reply: IPlaceReply }
-  readonly placeGroup: { readonly ask: IPlaceGroup, readonly reply: IPlaceReply }
-  readonly cancelTask: { readonly ask: ICancelTask, readonly reply: { readonly known: boolean } }
-  readonly tasksOf: { readonly ask: ITasksOfAsk, readonly reply: ITasksOfReply }
-  readonly reserve: { readonly ask: IReserveRequest, readonly reply: IReserveReply }
-  readonly startReserved: { readonly ask: IReservationRef, readonly reply: { readonly started: boolean } }
-  readonly dropReservation: { readonly ask: IReservationRef, readonly reply: { readonly dropped: boolean } }
-  readonly configSince: { readonly ask: { readonly digest: string }, readonly reply: { readonly entries: readonly IConfigEntry[] } }
-  readonly dump: { readonly ask: { readonly section?: string }, readonly reply: { readonly json: string } }
-  readonly drain: { readonly ask: { readonly hostId?: string }, readonly reply: { readonly draining: boolean } }
-  readonly cellSubmit: { readonly ask: ICellSubmission, readonly reply: ICellSubmitReply }
-  readonly cellState: { readonly ask: { readonly jobId: string }, readonly reply: ICellStateReply }
-  readonly cellCancel: { readonly ask: { readonly jobId: string }, readonly reply: { readonly result: CancelOutcome } }
-  readonly cellWaiting: { readonly ask: { readonly queue: string }, readonly reply: { readonly count?: number } }
-  readonly cellAdvise: { readonly ask: ICellAdviceAsk, readonly reply: ICellAdviceReply }
-  readonly cellOffer: { readonly ask: ICellOwnerCast, readonly reply: ICellOfferReply }
+  readonly outcomeOf: { readonly request: { readonly attemptId: string, readonly waitMs: number }, readonly reply: IFinalAnswer }
+  readonly submitJob: { readonly request: IJobSpec, readonly reply: IFinalAnswer }
+  readonly jobStatus: { readonly request: { readonly jobId: string }, readonly reply: { readonly status?: IJobStatus, readonly owner: boolean } }
+  readonly cancelJob: { readonly request: { readonly jobId: string }, readonly reply: { readonly status?: IJobStatus, readonly owner: boolean } }
+  readonly placeTask: { readonly request: IPlaceTaskRequest, readonly reply: IPlaceReply }
+  readonly placeGroup: { readonly request: IPlaceGroupRequest, readonly reply: IPlaceReply }
+  readonly cancelTask: { readonly request: ICancelTaskRequest, readonly reply: { readonly known: boolean } }
+  readonly tasksOf: { readonly request: ITasksOfRequest, readonly reply: ITasksOfReply }
+  readonly reserve: { readonly request: IReserveRequest, readonly reply: IReserveReply }
+  readonly startReserved: { readonly request: IReservationRef, readonly reply: { readonly started: boolean } }
+  readonly dropReservation: { readonly request: IReservationRef, readonly reply: { readonly dropped: boolean } }
+  readonly configSince: { readonly request: { readonly digest: string }, readonly reply: { readonly entries: readonly IConfigEntry[] } }
+  readonly dump: { readonly request: { readonly section?: string }, readonly reply: { readonly json: string } }
+  readonly drain: { readonly request: { readonly hostId?: string }, readonly reply: { readonly draining: boolean } }
+  readonly cellSubmit: { readonly request: ICellSubmission, readonly reply: ICellSubmitReply }
+  readonly cellState: { readonly request: { readonly jobId: string }, readonly reply: ICellStateReply }
+  readonly cellCancel: { readonly request: { readonly jobId: string }, readonly reply: { readonly result: CancelOutcome } }
+  readonly cellWaiting: { readonly request: { readonly queue: string }, readonly reply: { readonly count?: number } }
+  readonly cellAdvise: { readonly request: ICellAdviceRequest, readonly reply: ICellAdviceReply }
+  readonly cellOffer: { readonly request: ICellOwnerCast, readonly reply: ICellOfferReply }
   /** Like `cellOffer`, but the called process tries to reach the store first and is willing only if the store answers. */
-  readonly cellRelief: { readonly ask: ICellOwnerCast, readonly reply: ICellOfferReply }
+  readonly cellRelief: { readonly request: ICellOwnerCast, readonly reply: ICellOfferReply }
   /** The owner tries to reach the store and replies whether it succeeded. */
-  readonly cellReach: { readonly ask: Readonly<Record<string, never>>, readonly reply: { readonly isReached: boolean } }
+  readonly cellReach: { readonly request: Readonly<Record<string, never>>, readonly reply: { readonly isReached: boolean } }
   /** Any process replies at once. */
-  readonly cellPing: { readonly ask: Readonly<Record<string, never>>, readonly reply: Readonly<Record<string, never>> }
+  readonly cellPing: { readonly request: Readonly<Record<string, never>>, readonly reply: Readonly<Record<string, never>> }
   /** The called process tries for up to `waitMs` to reach another process and replies whether it succeeded. */
-  readonly cellWitness: { readonly ask: { readonly processId: string, readonly waitMs: number }, readonly reply: { readonly isReached: boolean } }
+  readonly cellWitness: { readonly request: { readonly processId: string, readonly waitMs: number }, readonly reply: { readonly isReached: boolean } }
   /** The processes that the called process has a link to. */
-  readonly cellLinks: { readonly ask: Readonly<Record<string, never>>, readonly reply: { readonly processIds: readonly string[] } }
+  readonly cellLinks: { readonly request: Readonly<Record<string, never>>, readonly reply: { readonly processIds: readonly string[] } }
   /** The called process takes the cell over from this owner. It replies when this has succeeded or failed. */
-  readonly cellTakeOver: { readonly ask: ICellOwnerCast, readonly reply: { readonly isOwner: boolean } }
+  readonly cellTakeOver: { readonly request: ICellOwnerCast, readonly reply: { readonly isOwner: boolean } }
 }
 
 /** The casts by name, with their bodies. */
--- a/src/common/state/GangReservation.test.ts
+++ b/src/common/state/GangReservation.test.ts
@@ -5,9 +5,9 @@
 import test from 'ava'
 import { DEFAULT_GANG_OPTIONS, GangReservation } from './GangReservation.js'
 
-import type { IPlaceTask } from '../protocol/Types.js'
+import type { IPlaceTaskRequest } from '../protocol/Types.js'
 
-function tasks (...ids: string[]): readonly IPlaceTask[] {
+function tasks (...ids: string[]): readonly IPlaceTaskRequest[] {
   const resources = { cores: 1, memoryBytes: 1, accelerators: 0 }
   return ids.map((taskId) => ({ jobId: 'j', service: 's', caller: 'c', task: { taskId, resources }, attempt: 1, jobOwner: 'o' }))
 }
--- a/src/common/state/GangReservation.ts
+++ b/src/common/state/GangReservation.ts
@@ -10,7 +10,7 @@
  * started only for as long as that takes.
  */
 
-import type { IPlaceTask } from '../protocol/Types.js'
+import type { IPlaceTaskRequest } from '../protocol/Types.js'
 import type { MonotonicMs } from '../Types.js'
 
 export interface IGangOptions {
@@ -38,7 +38,7 @@
 
 /** A command to send. Each scheduler has at most one command in flight. */
 export type GangCommand =
-  | IGangCommandBase & { readonly type: 'reserve', readonly tasks: readonly IPlaceTask[], readonly expiresMs: number }
+  | IGangCommandBase & { readonly type: 'reserve', readonly tasks: readonly IPlaceTaskRequest[], readonly expiresMs: number }
   | IGangCommandBase & { readonly type: 'start' }
   /** Drop the reservation and cancel its tasks, whether started or not. The scheduler refuses this try from then on. */
   | IGangCommandBase & { readonly type: 'giveBack', readonly taskIds: readonly string[] }
@@ -71,7 +71,7 @@
    */
   public constructor (
     public readonly tryNumber: number,
-    private readonly _tasks: readonly IPlaceTask[],
+    private readonly _tasks: readonly IPlaceTaskRequest[],
     schedulers: readonly string[],
     private readonly _options: IGangOptions,
     from?: IGangSnapshot
--- a/src/daemon/MembersFeed.ts
+++ b/src/daemon/MembersFeed.ts
@@ -23,8 +23,8 @@
 
 /** Passes the members that the shard owner watches to the scheduler's membership agent. */
 export function forwardMembers (owner: ShardOwner, agent: MembershipAgent): IDisposable {
-  const members = owner.onMembersChanged(() => agent.storeAll(owner.members.all().map(toMember)))
-  const reachable = owner.onReachable((isReachable) => agent.storeReachable(isReachable))
+  const members = owner.onMembersChanged(() => agent.onStoreSnapshot(owner.members.all().map(toMember)))
+  const reachable = owner.onReachable((isReachable) => agent.onStoreReachable(isReachable))
   return {
     dispose: () => {
       members.dispose()
@@ -59,8 +59,8 @@
 
   private async _read (): Promise<void> {
     const range = await this._store.range(MEMBER_PREFIX)
-    this._agent.storeReachable(range.isOk())
-    if (range.isOk()) this._agent.storeAll(toMembers(range.value.records))
+    this._agent.onStoreReachable(range.isOk())
+    if (range.isOk()) this._agent.onStoreSnapshot(toMembers(range.value.records))
   }
 }
 
--- a/src/daemon/OperatorSide.ts
+++ b/src/daemon/OperatorSide.ts
@@ -70,7 +70,7 @@
 
   private _registerDumps (): void {
     const { hub, config, router, clock } = this._core
-    this.dumps.register('links', () => hub.links().map((link) => ({ ...link.peer, silentMs: clock.nowMs() - link.lastHeardMs })))
+    this.dumps.register('links', () => hub.links().map((link) => ({ ...link.peer, silentMs: clock.nowMs() - link.lastReceivedMs })))
     this.dumps.register('traffic', () => ({ ...hub.traffic(), ...hub.counters }))
     this.dumps.register('config', () => config.entries().map(({ kind, name, revision, deleted }) => ({ kind, name, revision, deleted })))
     this.dumps.register('load', () => router.summaries())
--- a/src/peer/LinkSet.ts
+++ b/src/peer/LinkSet.ts
@@ -16,7 +16,7 @@
 import { PeerSocket } from './PeerSocket.js'
 import { TrafficMeter } from './TrafficMeter.js'
 import type { IPeerLink, IPeerTraffic, LinkLossCause } from './Types.js'
-import { waitAtMost } from './Within.js'
+import { waitAtMost } from './WaitAtMost.js'
 
 /** How long `drain` waits for the peers to close their side after the calls have ended, in milliseconds. */
 const CLOSE_FLUSH_MS = 1_000
--- a/src/peer/MemberProber.ts
+++ b/src/peer/MemberProber.ts
@@ -62,7 +62,7 @@
   private _dial (member: IMember): void {
     this._probe = this._hub.dial(member.peerUrl, member.processId)
     this._timer = this._environment.timers.after(this._options.probeTimeoutMs, () => {
-      if (this._hub.link(member.processId) === undefined && member.state !== 'dead') this._membership.linkLost(member)
+      if (this._hub.link(member.processId) === undefined && member.state !== 'dead') this._membership.onLinkLost(member)
       this._probe?.dispose()
       this.start()
     })
--- a/src/peer/MembershipAgent.ts
+++ b/src/peer/MembershipAgent.ts
@@ -77,8 +77,8 @@
     this._registrations.add(this._hub.listen('members', (cast, from) => this._onCast(cast, from)))
     this._registrations.add(this._hub.onLink((link) => this._onLink(link.peer)))
     this._registrations.add(this._hub.onLost((peer, cause) => {
-      if (cause === 'released') this._membership.linkReleased(peer)
-      else this._membership.linkLost(peer)
+      if (cause === 'released') this._membership.onLinkReleased(peer)
+      else this._membership.onLinkLost(peer)
     }))
     this._registrations.add(this.onMember(() => { this._selected = undefined }))
     this._registrations.add(this._environment.timers.every(gossipMs, () => this._tick()))
@@ -88,7 +88,7 @@
   }
 
   /** Keeps a link to a member, whether `PeerSelection` selected it or not, until disposed. Returns undefined for an unknown member. */
-  public reach (processId: string): IDisposable | undefined {
+  public keepLink (processId: string): IDisposable | undefined {
     const member = this.member(processId)
     return member === undefined ? undefined : this._hub.dial(member.peerUrl, processId)
   }
@@ -118,23 +118,23 @@
   }
 
   /** Reports whether the store can be reached. */
-  public storeReachable (reachable: boolean): void {
-    this._membership.storeReachable(reachable)
+  public onStoreReachable (reachable: boolean): void {
+    this._membership.onStoreReachable(reachable)
   }
 
   /** Reports that the record of a process was written to the store. */
-  public storePresent (member: IMember): void {
-    this._membership.storePresent(member)
+  public onStorePresent (member: IMember): void {
+    this._membership.onStorePresent(member)
   }
 
   /** Reports that the record of a process is no longer in the store. */
-  public storeAbsent (processId: string): void {
-    this._membership.storeAbsent(processId)
+  public onStoreAbsent (processId: string): void {
+    this._membership.onStoreAbsent(processId)
   }
 
   /** Reports all records in the store, after a start or after a gap in the watch. */
-  public storeAll (members: readonly IMember[]): void {
-    this._membership.storeAll(members)
+  public onStoreSnapshot (members: readonly IMember[]): void {
+    this._membership.onStoreSnapshot(members)
   }
 
   public dispose (): void {
@@ -149,7 +149,7 @@
   }
 
   private _onLink (peer: IProcessIdentity): void {
-    const cast = this._membership.linkUp(peer)
+    const cast = this._membership.onLinkUp(peer)
     if (cast !== undefined) this._send({ peerId: peer.processId, cast })
   }
 
--- a/src/peer/PeerDialler.ts
+++ b/src/peer/PeerDialler.ts
@@ -11,7 +11,7 @@
 import type { Socket } from 'node:net'
 import type { IDisposable, IProcessIdentity, MonotonicMs } from '../common/Types.js'
 import { Handshake } from './Handshake.js'
-import { HandshakeRunner } from './Opening.js'
+import { HandshakeRunner } from './HandshakeRunner.js'
 import type { IPeerEnvironment, IPeerHubOptions } from './PeerHubOptions.js'
 import { maxPacketBytes } from './PeerListener.js'
 
--- a/src/peer/PeerHub.ts
+++ b/src/peer/PeerHub.ts
@@ -16,7 +16,7 @@
 import { Handshake } from './Handshake.js'
 import { HandlerTable } from './HandlerTable.js'
 import { LinkSet } from './LinkSet.js'
-import { HandshakeRunner } from './Opening.js'
+import { HandshakeRunner } from './HandshakeRunner.js'
 import { PeerCounters } from './PeerCounters.js'
 import type { IDialContext } from './PeerDialler.js'
 import { PEER_HUB_DEFAULTS } from './PeerHubOptions.js'
@@ -89,8 +89,8 @@
   }
 
   public handle<N extends PeerCallName> (
-    name: N, handler: (request: IPeerCalls[N]['ask'], from: IProcessIdentity) => Promise<IPeerCalls[N]['reply']>): void {
-    this._handlers.setHandler(name, (request, from) => handler(request as IPeerCalls[N]['ask'], from))
+    name: N, handler: (request: IPeerCalls[N]['request'], from: IProcessIdentity) => Promise<IPeerCalls[N]['reply']>): void {
+    this._handlers.setHandler(name, (request, from) => handler(request as IPeerCalls[N]['request'], from))
   }
 
   public listen<N extends PeerCastName> (name: N, listener: (cast: IPeerCasts[N], from: IProcessIdentity) => void): IDisposable {
--- a/src/peer/PeerLink.ts
+++ b/src/peer/PeerLink.ts
@@ -33,7 +33,7 @@
 export const SILENT_REASON = 'silent'
 
 export class PeerLink implements IPeerLink, IPeerSocketListener {
-  public lastHeardMs: MonotonicMs
+  public lastReceivedMs: MonotonicMs
   private readonly _codec: FrameCodec
   private readonly _calls: CallTable
   private readonly _inbound: InboundCalls
@@ -54,7 +54,7 @@
     private readonly _context: ILinkContext
   ) {
     const { options, environment } = _context
-    this.lastHeardMs = environment.clock.nowMs()
+    this.lastReceivedMs = environment.clock.nowMs()
     this._codec = new FrameCodec(options.maxFrameBytes)
     this._calls = new CallTable(peer.processId, environment.timers, _context.counters)
     this._inbound = new InboundCalls(peer, _context, (frame) => this._sender.enqueue(frame), () => this._checkDrained())
@@ -79,7 +79,7 @@
     return this._calls.size + this._inbound.handlerCount
   }
 
-  public call<N extends PeerCallName> (name: N, request: IPeerCalls[N]['ask'], timeoutMs: number):
+  public call<N extends PeerCallName> (name: N, request: IPeerCalls[N]['request'], timeoutMs: number):
   ResultAsync<IPeerCalls[N]['reply'], PeerError> {
     if (this._successor !== undefined) return this._successor.call(name, request, timeoutMs)
     const step = callStep(name)
@@ -118,7 +118,7 @@
   /** Sends a heartbeat if nothing else was sent, and closes the link if the peer is silent. Must be called once per heartbeat period. */
   public tick (): void {
     if (this._isClosed) return
-    if (this._monitor.updateReceived(this._socket.receivedBytes)) this.lastHeardMs = this._context.environment.clock.nowMs()
+    if (this._monitor.updateReceived(this._socket.receivedBytes)) this.lastReceivedMs = this._context.environment.clock.nowMs()
     if (this._monitor.isSilent()) {
       this._context.counters.silentLinks += 1
       this.terminate(SILENT_REASON)
@@ -196,7 +196,7 @@
 
   public onPacket (packet: Uint8Array): void {
     if (this._isClosed) return
-    this.lastHeardMs = this._context.environment.clock.nowMs()
+    this.lastReceivedMs = this._context.environment.clock.nowMs()
     const frames = this._codec.decode(packet)
     if (frames.isErr()) {
       this._context.counters.malformedPackets += 1
--- a/src/peer/Types.ts
+++ b/src/peer/Types.ts
@@ -25,7 +25,7 @@
 export interface IPeerHandlers {
   /** Sets the handler of a call. A call without a handler is refused. */
   handle<N extends PeerCallName> (
-    name: N, handler: (request: IPeerCalls[N]['ask'], from: IProcessIdentity) => Promise<IPeerCalls[N]['reply']>): void
+    name: N, handler: (request: IPeerCalls[N]['request'], from: IProcessIdentity) => Promise<IPeerCalls[N]['reply']>): void
   /** Adds a listener for a cast. */
   listen<N extends PeerCastName> (name: N, listener: (cast: IPeerCasts[N], from: IProcessIdentity) => void): IDisposable
 }
@@ -33,8 +33,8 @@
 export interface IPeerLink {
   readonly peer: IProcessIdentity
   /** When something was last received from the peer, by the monotonic clock. */
-  readonly lastHeardMs: number
-  call<N extends PeerCallName> (name: N, request: IPeerCalls[N]['ask'], timeoutMs: number): ResultAsync<IPeerCalls[N]['reply'], PeerError>
+  readonly lastReceivedMs: number
+  call<N extends PeerCallName> (name: N, request: IPeerCalls[N]['request'], timeoutMs: number): ResultAsync<IPeerCalls[N]['reply'], PeerError>
   cast<N extends PeerCastName> (name: N, cast: IPeerCasts[N]): void
   close (): void
 }
--- a/src/scheduler/jobs/GroupReserver.ts
+++ b/src/scheduler/jobs/GroupReserver.ts
@@ -5,7 +5,7 @@
 
 import { DEFAULT_GANG_OPTIONS, GangReservation } from '../../common/state/GangReservation.js'
 
-import type { IPlaceTask } from '../../common/protocol/Types.js'
+import type { IPlaceTaskRequest } from '../../common/protocol/Types.js'
 import type { GangCommand } from '../../common/state/GangReservation.js'
 import type { JobRun } from './JobRun.js'
 import type { TaskRun } from './TaskRun.js'
@@ -34,7 +34,7 @@
   public constructor (private readonly _context: GroupReserverContext) {}
 
   /** Tries once to start the tasks, whose attempts have begun. Afterwards the tasks run, are queued again, or are missing. */
-  public async place (run: JobRun, tasks: readonly TaskRun[], requests: readonly IPlaceTask[], schedulers: readonly string[]): Promise<void> {
+  public async place (run: JobRun, tasks: readonly TaskRun[], requests: readonly IPlaceTaskRequest[], schedulers: readonly string[]): Promise<void> {
     // The number of the try is the attempt number of its first task, which is higher than in any earlier try.
     const gang = new GangReservation(requests[0]?.attempt ?? 0, requests, schedulers, DEFAULT_GANG_OPTIONS)
     const reservation: IReservationTry = { run, tasks, gang, holders: new Map(), isInDoubt: false }
--- a/src/scheduler/jobs/HeldTasks.ts
+++ b/src/scheduler/jobs/HeldTasks.ts
@@ -6,7 +6,7 @@
 import { LRUCache } from 'lru-cache'
 
 import type { IWorkItem } from '../../common/policy/Types.js'
-import type { ITaskPlace } from '../../common/protocol/Types.js'
+import type { ITaskPlacement } from '../../common/protocol/Types.js'
 import type { JobFence } from '../../common/state/JobFence.js'
 import type { MonotonicMs } from '../../common/Types.js'
 import { hostTaskId, itemIdOf } from './TaskIds.js'
@@ -28,7 +28,7 @@
 
 export interface IEndedTask {
   readonly jobId: string
-  readonly place: ITaskPlace
+  readonly place: ITaskPlacement
 }
 
 /** Longer than a takeover of an id shard, including most store outages. */
@@ -81,7 +81,7 @@
     return this._byItem.values()
   }
 
-  public recordEnd (jobId: string, place: ITaskPlace): void {
+  public recordEnd (jobId: string, place: ITaskPlacement): void {
     this._recordGone(hostTaskId(jobId, place.taskId), place.attempt)
     this._ended.set(itemIdOf({ jobId, taskId: place.taskId, attempt: place.attempt }), { jobId, place })
   }
@@ -105,7 +105,7 @@
 }
 
 /** The place of a task as it is reported to the owner of its job. */
-export function placeOf (task: IHeldTask): ITaskPlace {
+export function placeOf (task: IHeldTask): ITaskPlacement {
   const { taskId, attempt, hostId, shardId } = task
   const state = task.phase === 'running' ? 'running' : 'queued'
   return { taskId, attempt, state, ...(hostId === undefined ? {} : { hostId }), ...(shardId === undefined ? {} : { shardId }) }
--- a/src/scheduler/jobs/JobPeers.ts
+++ b/src/scheduler/jobs/JobPeers.ts
@@ -17,7 +17,7 @@
  */
 const RECENT_CONTACT_MS = 2000
 
-type Handler<N extends PeerCallName> = (request: IPeerCalls[N]['ask']) => IPeerCalls[N]['reply'] | Promise<IPeerCalls[N]['reply']>
+type Handler<N extends PeerCallName> = (request: IPeerCalls[N]['request']) => IPeerCalls[N]['reply'] | Promise<IPeerCalls[N]['reply']>
 type UpdateListener = (cast: IPeerCasts['taskUpdate'], from: string) => void
 
 export class JobPeers implements IJobPeers {
@@ -48,11 +48,11 @@
   public hasRecentContact (processId: string): boolean {
     if (processId === this.self.processId) return true
     const link = this._hub.link(processId)
-    return link !== undefined && this._clock.nowMs() - link.lastHeardMs <= RECENT_CONTACT_MS
+    return link !== undefined && this._clock.nowMs() - link.lastReceivedMs <= RECENT_CONTACT_MS
   }
 
   public call<N extends PeerCallName> (
-    processId: string, name: N, request: IPeerCalls[N]['ask'], timeoutMs: number
+    processId: string, name: N, request: IPeerCalls[N]['request'], timeoutMs: number
   ): ResultAsync<IPeerCalls[N]['reply'], PeerError> {
     if (processId === this.self.processId) return this._callSelf(name, request)
     const link = this._hub.link(processId)
@@ -69,7 +69,7 @@
     return this._hub.onLost(listener)
   }
 
-  private _callSelf<N extends PeerCallName> (name: N, request: IPeerCalls[N]['ask']): ResultAsync<IPeerCalls[N]['reply'], PeerError> {
+  private _callSelf<N extends PeerCallName> (name: N, request: IPeerCalls[N]['request']): ResultAsync<IPeerCalls[N]['reply'], PeerError> {
     const handler: Handler<N> | undefined = this._handlers[name]
     if (handler === undefined) return errAsync(new UnreachableError(`peer.${name}`, this.self.processId, 'no handler'))
     return okAsync(request).andThen((received) => ResultAsync.fromPromise(
--- a/src/scheduler/jobs/JobRun.ts
+++ b/src/scheduler/jobs/JobRun.ts
@@ -10,7 +10,7 @@
 import { firstAttempt } from './TaskIds.js'
 import { TaskRun } from './TaskRun.js'
 
-import type { IJobSpec, IJobStatus, ITaskPlace, JobState } from '../../common/protocol/Types.js'
+import type { IJobSpec, IJobStatus, ITaskPlacement, JobState } from '../../common/protocol/Types.js'
 import type { ChartTable } from '../../common/state/ChartTable.js'
 import type { IRandom, MonotonicMs } from '../../common/Types.js'
 
@@ -109,7 +109,7 @@
   }
 
   /** Applies an update of a task; false if its attempt doesn't belong to the job, and must be stopped if it is live. */
-  public applyUpdate (place: ITaskPlace, from: string, nowMs: MonotonicMs): boolean {
+  public applyUpdate (place: ITaskPlacement, from: string, nowMs: MonotonicMs): boolean {
     const task = this._tasks.get(place.taskId)
     if (task === undefined) return false
     const isLive = place.state === 'running' || place.state === 'queued'
@@ -135,11 +135,11 @@
    * Adopts an attempt that an earlier owner started if it is live or has succeeded. A failed or stopped attempt is
    * ignored, because a later attempt may run elsewhere.
    */
-  private _adoptRecovered (task: TaskRun, place: ITaskPlace): void {
+  private _adoptRecovered (task: TaskRun, place: ITaskPlacement): void {
     if (place.state === 'running' || place.state === 'queued' || place.state === 'succeeded') task.adoptAttempt(place.attempt)
   }
 
-  private _applyPlace (task: TaskRun, place: ITaskPlace, from: string, nowMs: MonotonicMs): void {
+  private _applyPlace (task: TaskRun, place: ITaskPlacement, from: string, nowMs: MonotonicMs): void {
     switch (place.state) {
       case 'queued': this._markQueuedAt(task, from); break
       case 'running': this._markRunning(task, place, from, nowMs); break
@@ -155,7 +155,7 @@
     task.isMissing = false
   }
 
-  private _markRunning (task: TaskRun, place: ITaskPlace, from: string, nowMs: MonotonicMs): void {
+  private _markRunning (task: TaskRun, place: ITaskPlacement, from: string, nowMs: MonotonicMs): void {
     task.applyEvent('HOST_RUNS', nowMs)
     task.isMissing = false
     task.scheduler = from
@@ -172,7 +172,7 @@
     task.applyEvent('SUCCEEDED', nowMs)
   }
 
-  private _handleFailure (task: TaskRun, place: ITaskPlace, nowMs: MonotonicMs): void {
+  private _handleFailure (task: TaskRun, place: ITaskPlacement, nowMs: MonotonicMs): void {
     task.failures += 1
     task.avoidHost(place.hostId)
     const isExhausted = !this.job.longRunning && task.failures > this._context.rules().maxRetries
--- a/src/scheduler/jobs/Reservations.test.ts
+++ b/src/scheduler/jobs/Reservations.test.ts
@@ -5,9 +5,9 @@
 import test from 'ava'
 import { ID_SHARD, JobsCell } from '../../../test/support/JobsCell.js'
 
-import type { IPlaceTask } from '../../common/protocol/Types.js'
+import type { IPlaceTaskRequest } from '../../common/protocol/Types.js'
 
-const TASK: IPlaceTask = {
+const TASK: IPlaceTaskRequest = {
   jobId: 'job',
   service: 'sector-sweep',
   caller: 'farm',
--- a/src/scheduler/jobs/Reservations.ts
+++ b/src/scheduler/jobs/Reservations.ts
@@ -6,14 +6,14 @@
 import { TryFence } from '../../common/state/TryFence.js'
 
 import type { IWorkItem } from '../../common/policy/Types.js'
-import type { IPlaceTask, IReservationRef, IReserveReply, IReserveRequest } from '../../common/protocol/Types.js'
+import type { IPlaceTaskRequest, IReservationRef, IReserveReply, IReserveRequest } from '../../common/protocol/Types.js'
 import type { IDisposable } from '../../common/Types.js'
 import type { TaskService } from './TaskService.js'
 import type { ITaskServiceContext } from './Types.js'
 
 interface IReservation {
   readonly tryNumber: number
-  readonly tasks: readonly IPlaceTask[]
+  readonly tasks: readonly IPlaceTaskRequest[]
   readonly expiryTimer: IDisposable
 }
 
@@ -87,13 +87,13 @@
     return reservation.tasks.every((task) => this._tasks.answerIfKnown(task) === undefined)
   }
 
-  private _toItems (tasks: readonly IPlaceTask[]): readonly IWorkItem[] | undefined {
+  private _toItems (tasks: readonly IPlaceTaskRequest[]): readonly IWorkItem[] | undefined {
     if (tasks.some((task) => this._tasks.answerIfKnown(task) !== undefined)) return undefined
     const items = tasks.map((task) => this._tasks.toItem(task)).filter((item) => item !== undefined)
     return items.length === tasks.length ? items : undefined
   }
 
-  private _storeTry (jobId: string, tryNumber: number, tasks: readonly IPlaceTask[]): void {
+  private _storeTry (jobId: string, tryNumber: number, tasks: readonly IPlaceTaskRequest[]): void {
     const earlier = this._byJob.get(jobId)
     earlier?.expiryTimer.dispose()
     if (earlier !== undefined && earlier.tryNumber !== tryNumber) this._context.engine.dropReservation(groupIdOf(jobId, earlier.tryNumber))
--- a/src/scheduler/jobs/TaskRun.ts
+++ b/src/scheduler/jobs/TaskRun.ts
@@ -2,7 +2,7 @@
  * One task of an accepted job, as its job's owner sees it. The states are those of `charts/task.json`.
  */
 
-import type { ITaskPlace, ITaskSpec } from '../../common/protocol/Types.js'
+import type { ITaskPlacement, ITaskSpec } from '../../common/protocol/Types.js'
 import type { ChartTable } from '../../common/state/ChartTable.js'
 import type { IRandom, MonotonicMs } from '../../common/Types.js'
 
@@ -113,7 +113,7 @@
     if (this._avoidHostIds.length > MAX_AVOIDED_HOSTS) this._avoidHostIds.shift()
   }
 
-  public toPlace (): ITaskPlace {
+  public toPlace (): ITaskPlacement {
     const { hostId, shardId } = this
     const { taskId } = this.spec
     return {
@@ -136,7 +136,7 @@
   }
 }
 
-const REPORTED_STATE: Readonly<Record<TaskState, ITaskPlace['state']>> = {
+const REPORTED_STATE: Readonly<Record<TaskState, ITaskPlacement['state']>> = {
   queued: 'queued',
   reserved: 'reserved',
   starting: 'queued',
--- a/src/scheduler/jobs/TaskRunner.ts
+++ b/src/scheduler/jobs/TaskRunner.ts
@@ -8,7 +8,7 @@
 import { itemIdOf } from './TaskIds.js'
 
 import type { AttemptEnd, EngineDecision, IWorkItem } from '../../common/policy/Types.js'
-import type { ITaskPlace } from '../../common/protocol/Types.js'
+import type { ITaskPlacement } from '../../common/protocol/Types.js'
 import type { IDisposable, IResources } from '../../common/Types.js'
 import type { HeldTasks, IHeldTask } from './HeldTasks.js'
 import type { OwnerEpochs } from './OwnerEpochs.js'
@@ -154,7 +154,7 @@
   }
 
   /** Removes an attempt that has ended here, and reports the end to its job's owner now and on later requests. */
-  public endTask (task: IHeldTask, state: ITaskPlace['state']): void {
+  public endTask (task: IHeldTask, state: ITaskPlacement['state']): void {
     this._held.remove(task)
     const place = { ...placeOf(task), state }
     this._held.recordEnd(task.jobId, place)
@@ -162,7 +162,7 @@
   }
 
   /** Reports the place and state of a task to the current owner of its job. */
-  public reportPlace (jobId: string, place: ITaskPlace): void {
+  public reportPlace (jobId: string, place: ITaskPlacement): void {
     const owner = this._epochs.ownerOf(this._context.idShardOf(jobId))
     if (owner !== undefined) this._context.peers.cast(owner, 'taskUpdate', { jobId, place })
   }
--- a/src/scheduler/jobs/TaskSender.ts
+++ b/src/scheduler/jobs/TaskSender.ts
@@ -6,7 +6,7 @@
 import { AmbiguousError } from '../../common/Errors.js'
 import { GroupReserver } from './GroupReserver.js'
 
-import type { IPlaceReply, IPlaceTask, ITaskPlace } from '../../common/protocol/Types.js'
+import type { IPlaceReply, IPlaceTaskRequest, ITaskPlacement } from '../../common/protocol/Types.js'
 import type { PeerError } from '../../peer/Types.js'
 import type { JobRun } from './JobRun.js'
 import type { SchedulerChoice } from './SchedulerChoice.js'
@@ -46,7 +46,7 @@
   }
 
   /** Stops an attempt that belongs to no live job of this process: an earlier owner began it, or its job has ended. */
-  public stopStray (jobId: string, place: ITaskPlace, scheduler: string): void {
+  public stopStray (jobId: string, place: ITaskPlacement, scheduler: string): void {
     const { taskId, attempt } = place
     this._context.log.info('job.strayAttempt', { peer: scheduler, step: 'job.stopStray', jobId, taskId, attempt })
     this._context.peers.call(scheduler, 'cancelTask', { jobId, taskId, attempt }, CALL_TIMEOUT_MS)
@@ -146,7 +146,7 @@
     for (const task of tasks) task.notBeforeMs = notBeforeMs
   }
 
-  private _toRequest (run: JobRun, task: TaskRun): IPlaceTask {
+  private _toRequest (run: JobRun, task: TaskRun): IPlaceTaskRequest {
     const { jobId, service, caller } = run.job
     return {
       jobId,
--- a/src/scheduler/jobs/TaskService.ts
+++ b/src/scheduler/jobs/TaskService.ts
@@ -12,7 +12,7 @@
 import { toWorkItem } from './WorkItems.js'
 
 import type { IWorkItem } from '../../common/policy/Types.js'
-import type { ICancelTask, IPlaceGroup, IPlaceReply, IPlaceTask, ITasksOfAsk, ITasksOfReply } from '../../common/protocol/Types.js'
+import type { ICancelTaskRequest, IPlaceGroupRequest, IPlaceReply, IPlaceTaskRequest, ITasksOfRequest, ITasksOfReply } from '../../common/protocol/Types.js'
 import type { AttemptDecision } from '../../common/state/JobFence.js'
 import type { IDisposable } from '../../common/Types.js'
 import type { IHeldTask } from './HeldTasks.js'
@@ -42,7 +42,7 @@
   }
 
   /** Queues one task or refuses it with a reason. A repeated call for the same attempt gets the same answer. */
-  public place (request: IPlaceTask): IPlaceReply {
+  public place (request: IPlaceTaskRequest): IPlaceReply {
     const known = this.answerIfKnown(request)
     if (known !== undefined) return known
     const item = this.toItem(request)
@@ -55,7 +55,7 @@
   }
 
   /** Queues tasks that start together or not at all. */
-  public placeGroup (request: IPlaceGroup): IPlaceReply {
+  public placeGroup (request: IPlaceGroupRequest): IPlaceReply {
     const known = request.tasks.map((task) => this.answerIfKnown(task))
     if (known.length > 0 && known.every((reply) => reply?.accepted === true)) return { accepted: true }
     const refused = known.find((reply) => reply !== undefined)
@@ -71,7 +71,7 @@
   }
 
   /** Takes a task out of the queue or stops it; its end is reported once it is certain. */
-  public cancel (request: ICancelTask): { readonly known: boolean } {
+  public cancel (request: ICancelTaskRequest): { readonly known: boolean } {
     const task = this.held.findByTask(request.jobId, request.taskId)
     if (task === undefined || (request.attempt !== undefined && request.attempt !== task.attempt)) return { known: false }
     if (task.phase === 'queued') this._cancelQueued(task)
@@ -80,7 +80,7 @@
   }
 
   /** The tasks of an id shard's jobs that this scheduler holds or has recently held. */
-  public tasksOf (request: ITasksOfAsk): ITasksOfReply {
+  public tasksOf (request: ITasksOfRequest): ITasksOfReply {
     if (!this.epochs.accept(request.idShard, request.ownerEpoch, request.jobOwner)) return { settledShards: [], tasks: [] }
     const isOfIdShard = ({ jobId }: { readonly jobId: string }): boolean => this._context.idShardOf(jobId) === request.idShard
     const live = [...this.held.values()].filter(isOfIdShard).map((task) => ({ jobId: task.jobId, place: placeOf(task) }))
@@ -97,22 +97,22 @@
   }
 
   /** The item of a task under its service's profile; undefined while this scheduler doesn't know the service. */
-  public toItem (request: IPlaceTask): IWorkItem | undefined {
+  public toItem (request: IPlaceTaskRequest): IWorkItem | undefined {
     return toWorkItem(request, this._context.config, this._context.clock.nowMs())
   }
 
-  public itemIdOf (request: IPlaceTask): string {
+  public itemIdOf (request: IPlaceTaskRequest): string {
     return itemIdOf({ jobId: request.jobId, taskId: request.task.taskId, attempt: request.attempt })
   }
 
-  public holdTask (request: IPlaceTask, item: IWorkItem): void {
+  public holdTask (request: IPlaceTaskRequest, item: IWorkItem): void {
     const { jobId, attempt, jobOwner: placedBy } = request
     const { taskId } = request.task
     this.held.add({ jobId, taskId, attempt, itemId: item.id, item, placedBy, phase: 'queued', hostId: undefined, shardId: undefined, startedAtMs: 0 })
   }
 
   /** The answer for an attempt that must not be started, because it is refused, already held or already over; else undefined. */
-  public answerIfKnown (request: IPlaceTask): IPlaceReply | undefined {
+  public answerIfKnown (request: IPlaceTaskRequest): IPlaceReply | undefined {
     if (this._isDraining) return { accepted: false, reason: 'draining', retryAfterMs: DRAINING_RETRY_MS }
     const decision = this._decideAttempt(request)
     if (decision === 'start') return undefined
@@ -121,7 +121,7 @@
     return this._answerRepeat(request, decision)
   }
 
-  private _decideAttempt (request: IPlaceTask): AttemptDecision {
+  private _decideAttempt (request: IPlaceTaskRequest): AttemptDecision {
     const { jobId, attempt, jobOwner: owner } = request
     const idShard = this._context.idShardOf(jobId)
     this.epochs.readSummaries(idShard)
@@ -129,7 +129,7 @@
   }
 
   /** Answers a repeated command, and reports the state of its attempt again, because the sender may have missed it. */
-  private _answerRepeat (request: IPlaceTask, decision: 'known' | 'late'): IPlaceReply {
+  private _answerRepeat (request: IPlaceTaskRequest, decision: 'known' | 'late'): IPlaceReply {
     const { jobId, attempt } = request
     const { taskId } = request.task
     const ended = this.held.findEnded({ jobId, taskId, attempt })
@@ -146,7 +146,7 @@
   }
 }
 
-function groupIdOf (request: IPlaceGroup): string {
+function groupIdOf (request: IPlaceGroupRequest): string {
   return `${request.jobId}#${request.tasks[0]?.attempt ?? 0}`
 }
 
--- a/src/scheduler/jobs/TaskSurvey.ts
+++ b/src/scheduler/jobs/TaskSurvey.ts
@@ -12,7 +12,7 @@
 import { shardOfHost } from '../hosts/Types.js'
 import { itemIdOf } from './TaskIds.js'
 
-import type { ITasksOfAsk, ITasksOfReply, ITaskUpdate } from '../../common/protocol/Types.js'
+import type { ITasksOfRequest, ITasksOfReply, ITaskUpdate } from '../../common/protocol/Types.js'
 import type { IClock, MonotonicMs } from '../../common/Types.js'
 import type { IHostRecord } from '../../runtime/Types.js'
 import type { JobRun } from './JobRun.js'
@@ -117,7 +117,7 @@
     }
   }
 
-  private _toRequest (missing: readonly ITaskOfRun[]): ITasksOfAsk {
+  private _toRequest (missing: readonly ITaskOfRun[]): ITasksOfRequest {
     const jobIds = [...new Set(missing.map(({ run }) => run.job.jobId))]
     const request = { idShard: this._idShard, ownerEpoch: this.epoch, jobOwner: this._context.peers.self.processId }
     return jobIds.length > MAX_LISTED_JOB_IDS ? request : { ...request, endedOf: jobIds }
--- a/src/scheduler/jobs/Types.ts
+++ b/src/scheduler/jobs/Types.ts
@@ -73,7 +73,7 @@
   processIds (): readonly string[]
   /** Whether the last message of the process is so recent that it can't have been replaced; always true for this process. */
   hasRecentContact (processId: string): boolean
-  call<N extends PeerCallName> (processId: string, name: N, request: IPeerCalls[N]['ask'], timeoutMs: number):
+  call<N extends PeerCallName> (processId: string, name: N, request: IPeerCalls[N]['request'], timeoutMs: number):
   ResultAsync<IPeerCalls[N]['reply'], PeerError>
   cast (processId: string, name: 'taskUpdate', cast: IPeerCasts['taskUpdate']): void
   onLost (listener: (peer: IProcessIdentity) => void): IDisposable
--- a/src/scheduler/jobs/WorkItems.ts
+++ b/src/scheduler/jobs/WorkItems.ts
@@ -6,11 +6,11 @@
 
 import type { IConfigReplica } from '../../common/config/Types.js'
 import type { IWorkItem } from '../../common/policy/Types.js'
-import type { IPlaceTask } from '../../common/protocol/Types.js'
+import type { IPlaceTaskRequest } from '../../common/protocol/Types.js'
 import type { MonotonicMs } from '../../common/Types.js'
 
 /** The item of a task under its service's profile; undefined while this scheduler doesn't know the service. */
-export function toWorkItem (request: IPlaceTask, config: IConfigReplica, nowMs: MonotonicMs): IWorkItem | undefined {
+export function toWorkItem (request: IPlaceTaskRequest, config: IConfigReplica, nowMs: MonotonicMs): IWorkItem | undefined {
   const service = config.service(request.service)
   const found = service === undefined ? undefined : config.profile(service.profile)
   if (service === undefined || found === undefined) return undefined
--- a/test/support/JobsCell.ts
+++ b/test/support/JobsCell.ts
@@ -153,7 +153,7 @@
   }
 
   public call<N extends PeerCallName> (
-    processId: string, name: N, ask: IPeerCalls[N]['ask']): ResultAsync<IPeerCalls[N]['reply'], PeerError> {
+    processId: string, name: N, ask: IPeerCalls[N]['request']): ResultAsync<IPeerCalls[N]['reply'], PeerError> {
     const to = this._cell.schedulers.find((scheduler) => scheduler.isAlive && scheduler.self.processId === processId)
     if (to === undefined || !this.isAlive) return errAsync(new UnreachableError(name, processId, 'dead'))
     return ResultAsync.fromSafePromise(Promise.resolve().then(() => to._handleCall(name, ask) as IPeerCalls[N]['reply']))
@@ -166,13 +166,13 @@
 
   private _handleCall (name: PeerCallName, ask: unknown): unknown {
     switch (name) {
-      case 'placeTask': return this.tasks.place(ask as IPeerCalls['placeTask']['ask'])
-      case 'placeGroup': return this.tasks.placeGroup(ask as IPeerCalls['placeGroup']['ask'])
-      case 'reserve': return this.tasks.reservations.reserve(ask as IPeerCalls['reserve']['ask'])
-      case 'startReserved': return this.losesReservations ? { started: false } : this.tasks.reservations.start(ask as IPeerCalls['startReserved']['ask'])
-      case 'dropReservation': return this.tasks.reservations.drop(ask as IPeerCalls['dropReservation']['ask'])
-      case 'cancelTask': return this.tasks.cancel(ask as IPeerCalls['cancelTask']['ask'])
-      default: return this.tasks.tasksOf(ask as IPeerCalls['tasksOf']['ask'])
+      case 'placeTask': return this.tasks.place(ask as IPeerCalls['placeTask']['request'])
+      case 'placeGroup': return this.tasks.placeGroup(ask as IPeerCalls['placeGroup']['request'])
+      case 'reserve': return this.tasks.reservations.reserve(ask as IPeerCalls['reserve']['request'])
+      case 'startReserved': return this.losesReservations ? { started: false } : this.tasks.reservations.start(ask as IPeerCalls['startReserved']['request'])
+      case 'dropReservation': return this.tasks.reservations.drop(ask as IPeerCalls['dropReservation']['request'])
+      case 'cancelTask': return this.tasks.cancel(ask as IPeerCalls['cancelTask']['request'])
+      default: return this.tasks.tasksOf(ask as IPeerCalls['tasksOf']['request'])
     }
   }
 }
--- a/test/support/MembershipCluster.ts
+++ b/test/support/MembershipCluster.ts
@@ -66,7 +66,7 @@
     const before = this.nodes.get(processId)
     if (before !== undefined) before.state = 'killed'
     this.nodes.set(processId, node)
-    for (const other of known) membership.storePresent({ ...other.self, state: 'alive' })
+    for (const other of known) membership.onStorePresent({ ...other.self, state: 'alive' })
     return node
   }
 
@@ -113,7 +113,7 @@
     const running = this.running()
     const hashes = new Set(running.map((node) => node.membership.viewHash))
     if (hashes.size > 1) return false
-    return running.every((node) => running.every((other) => isTrusted(node.membership.standing(other.self.processId)?.state)) &&
+    return running.every((node) => running.every((other) => isTrusted(node.membership.statementOf(other.self.processId)?.state)) &&
       node.membership.members().filter((member) => member.state !== 'dead').length === running.length)
   }
 
@@ -129,8 +129,8 @@
       const isUnwanted = link.probeRounds <= 0 && link.silentRounds === 0 && !this._isSelected(link.a, link.b)
       if (!isGone && !isUnwanted) continue
       this._links.delete(key)
-      this._notify(link.a, (node) => isGone ? node.membership.linkLost(link.b.self) : node.membership.linkReleased(link.b.self))
-      this._notify(link.b, (node) => isGone ? node.membership.linkLost(link.a.self) : node.membership.linkReleased(link.a.self))
+      this._notify(link.a, (node) => isGone ? node.membership.onLinkLost(link.b.self) : node.membership.onLinkReleased(link.b.self))
+      this._notify(link.b, (node) => isGone ? node.membership.onLinkLost(link.a.self) : node.membership.onLinkReleased(link.a.self))
     }
   }
 
@@ -163,7 +163,7 @@
     const candidates = node.membership.members().filter((member) => !this._links.has(linkKey(node.self.processId, member.processId)))
     const member = candidates[Math.floor(this._random.next() * candidates.length)]
     if (member === undefined || member.processId === node.self.processId) return
-    if (!this._openLink(node, member, SILENCE_ROUNDS) && member.state !== 'dead') node.membership.linkLost(member)
+    if (!this._openLink(node, member, SILENCE_ROUNDS) && member.state !== 'dead') node.membership.onLinkLost(member)
   }
 
   private _openLink (node: INode, member: IMember, probeRounds: number): boolean {
@@ -178,7 +178,7 @@
   }
 
   private _sendOnLinkUp (from: INode, to: INode): void {
-    const cast = from.membership.linkUp(to.self)
+    const cast = from.membership.onLinkUp(to.self)
     if (cast !== undefined) this._deliver(from, to.self.processId, cast)
   }
 
@@ -213,7 +213,7 @@
   const names = Array.from({ length: count }, (_, index) => ({ id: `p${index}`, region: `r${index % regions}` }))
   for (const { id, region } of names) cluster.start(id, region)
   for (const node of cluster.nodes.values()) {
-    for (const other of cluster.nodes.values()) node.membership.storePresent({ ...other.self, state: 'alive' })
+    for (const other of cluster.nodes.values()) node.membership.onStorePresent({ ...other.self, state: 'alive' })
   }
   return cluster
 }
