--- a/bench/slopes/RoutingSlopes.ts
+++ b/bench/slopes/RoutingSlopes.ts
@@ -55,7 +55,7 @@
 
 function filledRouter (schedulers: number): SchedulerRouter {
   const router = new SchedulerRouter('region-0', new SeededRandom(1))
-  for (let index = 0; index < schedulers; index++) router.noteSummary(summaryOf(index, SHARDS_PER_SCHEDULER, 0))
+  for (let index = 0; index < schedulers; index++) router.updateSummary(summaryOf(index, SHARDS_PER_SCHEDULER, 0))
   return router
 }
 
@@ -67,7 +67,7 @@
     const router = new SchedulerRouter('region-0', new SeededRandom(1))
     const applySummaries = (): void => {
       for (let index = 0; index < REPETITIONS / SUMMARY_ROUNDS; index++) {
-        router.noteSummary(reader.unpack(writer.pack(summaryOf(index, shards, 0))) as ILoadSummary)
+        router.updateSummary(reader.unpack(writer.pack(summaryOf(index, shards, 0))) as ILoadSummary)
       }
     }
     applySummaries()
--- a/src/common/observability/EventRateLimit.ts
+++ b/src/common/observability/EventRateLimit.ts
@@ -26,7 +26,7 @@
   public constructor (private readonly _clock: IClock, private readonly _maxLinesPerSecond: number) {}
 
   /** Decides whether one more line of this event is written. Event names are constants of the code, so the map is bounded. */
-  public take (event: string): IRateDecision {
+  public admit (event: string): IRateDecision {
     const window = this._windowOf(event)
     if (window.lines >= this._maxLinesPerSecond) {
       window.suppressed += 1
--- a/src/common/observability/Observability.test.ts
+++ b/src/common/observability/Observability.test.ts
@@ -34,8 +34,8 @@
 
 test('a late completion is counted separately, every other outcome under its name', t => {
   const counters = new OutcomeCounters(10)
-  for (const late of [false, true, true]) counters.noteOutcome('chip-lookup', 'shelter-1', { outcome: 'done', waitMs: 3 }, late)
-  for (const outcome of ['refused', 'notRun', 'unknown'] as const) counters.noteOutcome('chip-lookup', 'shelter-1', { outcome }, true)
+  for (const late of [false, true, true]) counters.recordOutcome('chip-lookup', 'shelter-1', { outcome: 'done', waitMs: 3 }, late)
+  for (const outcome of ['refused', 'notRun', 'unknown'] as const) counters.recordOutcome('chip-lookup', 'shelter-1', { outcome }, true)
   const [row] = counters.rows('chip-lookup')
   t.like(row, { completed: 1, late: 2, refused: 1, notRun: 1, unknown: 1 })
   t.is(row?.waitBuckets.reduce((sum, bucket) => sum + bucket.count, 0), 3)
@@ -47,7 +47,7 @@
 test('made-up callers are merged into one row and evict no other caller from the table', t => {
   const counters = new OutcomeCounters(10)
   for (let i = 0; i < 1000; i++) {
-    for (const caller of [`made-up-${i}`, 'regular']) counters.noteOutcome('s', caller, { outcome: 'done', waitMs: 1 }, false)
+    for (const caller of [`made-up-${i}`, 'regular']) counters.recordOutcome('s', caller, { outcome: 'done', waitMs: 1 }, false)
   }
   const rows = counters.rows()
   t.is(rows.length, 11)
--- a/src/common/observability/OutcomeCounters.ts
+++ b/src/common/observability/OutcomeCounters.ts
@@ -29,7 +29,7 @@
    *
    * @param late whether the request was answered at or after its deadline; true if in doubt, which favours the caller
    */
-  public noteOutcome (service: string, caller: string, answer: Pick<IFinalAnswer, 'outcome' | 'waitMs'>, late: boolean): void {
+  public recordOutcome (service: string, caller: string, answer: Pick<IFinalAnswer, 'outcome' | 'waitMs'>, late: boolean): void {
     const row = this._rowOf(service, caller)
     row.counts[countName(answer.outcome, late)] += 1
     if (answer.waitMs !== undefined) row.waits.record(answer.waitMs)
--- a/src/common/requests/ClaimHolder.ts
+++ b/src/common/requests/ClaimHolder.ts
@@ -12,7 +12,7 @@
   readonly incarnation: number
 }
 
-export function holderName ({ processId, incarnation }: IProcessIdentity): string {
+export function formatHolder ({ processId, incarnation }: IProcessIdentity): string {
   return `${processId}${SEPARATOR}${incarnation}`
 }
 
--- a/src/common/requests/InFlightLimit.ts
+++ b/src/common/requests/InFlightLimit.ts
@@ -30,7 +30,7 @@
   }
 
   /** Reserves capacity for one request. Call the returned function once the request has its answer. The error names the exceeded limit. */
-  public take (bytes: number): Result<() => void, 'requests' | 'bytes'> {
+  public reserve (bytes: number): Result<() => void, 'requests' | 'bytes'> {
     if (this._count >= this._bounds.maxInFlight) return err('requests')
     if (this._bytes + bytes > this._bounds.maxInFlightBytes) return err('bytes')
     this._count += 1
--- a/src/common/routing/SchedulerRouter.test.ts
+++ b/src/common/routing/SchedulerRouter.test.ts
@@ -50,7 +50,7 @@
 function chooseRepeatedly (
   summaries: readonly ILoadSummary[], profile = PROFILE, excluded: readonly string[] = []): ReadonlyArray<string | undefined> {
   const router = new SchedulerRouter('west', new SeededRandom(7))
-  for (const each of summaries) router.noteSummary(each)
+  for (const each of summaries) router.updateSummary(each)
   const chosen = new Set<string | undefined>()
   for (let draw = 0; draw < 50; draw++) chosen.add(router.choose({ profile, excluded: new Set(excluded) }))
   return [...chosen].sort()
@@ -76,12 +76,12 @@
 
 test('requests sent since the last summary count, so that a burst does not all go to one scheduler', (t) => {
   const router = new SchedulerRouter('west', new SeededRandom(7))
-  router.noteSummary(summary('a', 'west', 8))
-  router.noteSummary(summary('b', 'west', 8))
+  router.updateSummary(summary('a', 'west', 8))
+  router.updateSummary(summary('b', 'west', 8))
   const sent = { a: 0, b: 0 }
   for (let request = 0; request < 16; request++) {
     const chosen = router.choose({ profile: PROFILE, excluded: new Set() }) as 'a' | 'b'
-    router.noteSent(chosen)
+    router.recordSent(chosen)
     sent[chosen] += 1
   }
   t.deepEqual(sent, { a: 8, b: 8 })
@@ -94,8 +94,8 @@
   const router = new SchedulerRouter('west', new SeededRandom(7))
   const summaryWithSlots = (id: string, totalSlots: number): ILoadSummary =>
     summary(id, 'west', 0, 0, { shards: [{ ...shard(id, 'runners', 1, 0), totalSlots }] })
-  router.noteSummary(summaryWithSlots('small', 16))
-  router.noteSummary(summaryWithSlots('large', 64))
+  router.updateSummary(summaryWithSlots('small', 16))
+  router.updateSummary(summaryWithSlots('large', 64))
   let small = 0
   for (let draw = 0; draw < 1000; draw++) small += Number(router.choose({ profile: PROFILE, excluded: new Set() }) === 'small')
   t.true(small > 150 && small < 250, `${small} of 1000`)
@@ -105,9 +105,9 @@
   // An owner that resumes after a pause still reports that it owns the shard, until its hosts refuse it. All requests
   // that were sent to it because of that report would be refused.
   const router = new SchedulerRouter('west', new SeededRandom(7))
-  router.noteSummary(summary('new', 'west', 1, 0, { shards: [shard('ids/00', 'ids', 5, 0)] }))
-  router.noteSummary(summary('old', 'west', 1, 0, { shards: [shard('ids/00', 'ids', 4, 0)] }))
+  router.updateSummary(summary('new', 'west', 1, 0, { shards: [shard('ids/00', 'ids', 5, 0)] }))
+  router.updateSummary(summary('old', 'west', 1, 0, { shards: [shard('ids/00', 'ids', 4, 0)] }))
   t.is(router.ownerOf('ids/00'), 'new')
-  router.forget('new')
+  router.removeScheduler('new')
   t.is(router.ownerOf('ids/00'), 'old')
 })
--- a/src/common/routing/SchedulerRouter.ts
+++ b/src/common/routing/SchedulerRouter.ts
@@ -31,17 +31,17 @@
 
   public constructor (private readonly _region: string, private readonly _random: IRandom) {}
 
-  public noteSummary (summary: ILoadSummary): void {
+  public updateSummary (summary: ILoadSummary): void {
     const known = this._views.get(summary.processId)
     if (known !== undefined && known.summary.incarnation > summary.incarnation) return
     this._views.set(summary.processId, { summary, sentSince: 0 })
   }
 
-  public forget (processId: string): void {
+  public removeScheduler (processId: string): void {
     this._views.delete(processId)
   }
 
-  public noteSent (processId: string): void {
+  public recordSent (processId: string): void {
     const view = this._views.get(processId)
     if (view !== undefined) view.sentSince += 1
   }
--- a/src/common/routing/Types.ts
+++ b/src/common/routing/Types.ts
@@ -13,11 +13,11 @@
 
 export interface ISchedulerRouter {
   /** Stores the newest load summary of a scheduler. */
-  noteSummary (summary: ILoadSummary): void
+  updateSummary (summary: ILoadSummary): void
   /** Removes a scheduler whose link was lost, until its next summary. */
-  forget (processId: string): void
+  removeScheduler (processId: string): void
   /** Records that a request was sent, so that the next choices count it before the next summary arrives. */
-  noteSent (processId: string): void
+  recordSent (processId: string): void
   /** Chooses the scheduler for a request; undefined if none can serve it. */
   choose (request: IRouteRequest): string | undefined
   /** The process that owns a shard: the one that reported the highest epoch. */
--- a/src/daemon/DaemonCore.ts
+++ b/src/daemon/DaemonCore.ts
@@ -98,8 +98,8 @@
   }
 
   private _trackPeerLoad (): void {
-    this.disposables.add(this.hub.listen('loadSummary', (summary) => this.router.noteSummary(summary)))
-    this.disposables.add(this.hub.onLost((peer) => this.router.forget(peer.processId)))
+    this.disposables.add(this.hub.listen('loadSummary', (summary) => this.router.updateSummary(summary)))
+    this.disposables.add(this.hub.onLost((peer) => this.router.removeScheduler(peer.processId)))
   }
 }
 
--- a/src/daemon/GatewayDaemon.ts
+++ b/src/daemon/GatewayDaemon.ts
@@ -5,8 +5,8 @@
 import { LatencyTable } from '../common/observability/LatencyTable.js'
 import { OutcomeCounters } from '../common/observability/OutcomeCounters.js'
 import { CallerServer } from '../gateway/CallerServer.js'
-import { JobFlow } from '../gateway/JobFlow.js'
-import { RequestFlow } from '../gateway/RequestFlow.js'
+import { JobForwarder } from '../gateway/JobForwarder.js'
+import { RequestForwarder } from '../gateway/RequestForwarder.js'
 import { createBroker } from '../runtime/Broker.js'
 import { okReply } from '../runtime/OperatorRoutes.js'
 import { DaemonCore } from './DaemonCore.js'
@@ -14,7 +14,7 @@
 import { OperatorSide } from './OperatorSide.js'
 
 import type { ServiceBroker } from 'moleculer'
-import type { IFlowContext, IOutcomeSink } from '../gateway/Types.js'
+import type { IForwarderContext, IOutcomeSink } from '../gateway/Types.js'
 import type { IFinalAnswer } from '../common/Types.js'
 import type { ICallerSettings, ISettings } from '../runtime/settings/Types.js'
 import type { IDaemon, IDaemonAddresses } from './Types.js'
@@ -34,14 +34,14 @@
 
   private constructor (private readonly _core: DaemonCore, caller: ICallerSettings) {
     const { hub, router, config, attemptIds, hasher, clock, random, log, settings, self } = _core
-    const flowContext: IFlowContext = { hub, router, config, attemptIds, hasher, clock, timers: clock, random, log }
+    const flowContext: IForwarderContext = { hub, router, config, attemptIds, hasher, clock, timers: clock, random, log }
     this._broker = createBroker(self.processId, log)
     this._callerServer = new CallerServer({
       broker: this._broker,
       settings: caller,
       limits: settings.limits,
-      requests: new RequestFlow(flowContext),
-      jobs: new JobFlow(flowContext),
+      requests: new RequestForwarder(flowContext),
+      jobs: new JobForwarder(flowContext),
       config,
       outcomes: this,
       clock,
@@ -65,8 +65,8 @@
     return new GatewayDaemon(await DaemonCore.create(settings), caller)
   }
 
-  public noteOutcome (service: string, caller: string, answer: IFinalAnswer, isLate: boolean): void {
-    this._outcomes.noteOutcome(service, caller, answer, isLate)
+  public recordOutcome (service: string, caller: string, answer: IFinalAnswer, isLate: boolean): void {
+    this._outcomes.recordOutcome(service, caller, answer, isLate)
     if (answer.waitMs !== undefined) this._waitTimes.record(service, answer.waitMs)
     if (answer.serviceMs !== undefined) this._serviceTimes.record(service, answer.serviceMs)
   }
--- a/src/daemon/SchedulerDaemon.ts
+++ b/src/daemon/SchedulerDaemon.ts
@@ -148,7 +148,7 @@
       shards: () => this._ownership.owner.held(),
       draining: () => this._isDraining,
       storeReachable: () => this._ownership.isStoreReachable
-    }, (summary) => router.noteSummary(summary))
+    }, (summary) => router.updateSummary(summary))
   }
 
   private _applyTeams (entries: readonly IConfigEntry[]): void {
--- a/src/gateway/CallerServer.test.ts
+++ b/src/gateway/CallerServer.test.ts
@@ -18,8 +18,8 @@
 
 import type { IConfigEntry } from '../common/config/Types.js'
 import type { IFinalAnswer } from '../common/Types.js'
-import type { JobFlow } from './JobFlow.js'
-import type { RequestFlow } from './RequestFlow.js'
+import type { JobForwarder } from './JobForwarder.js'
+import type { RequestForwarder } from './RequestForwarder.js'
 import type { IRoutedRequest } from './Types.js'
 
 const MAX_BODY_BYTES = 1024
@@ -50,10 +50,10 @@
     broker,
     settings: { listen: { ip: '127.0.0.1', port: 0 }, maxBodyBytes: MAX_BODY_BYTES, requestTimeoutMs: 1000 },
     limits: { ...SETTINGS_DEFAULTS.limits, headersTimeoutMs: 200, ...limits },
-    requests: { run: echo } as unknown as RequestFlow,
-    jobs: { submit: async () => ({ outcome: 'done' }), status: async () => undefined } as unknown as JobFlow,
+    requests: { run: echo } as unknown as RequestForwarder,
+    jobs: { submit: async () => ({ outcome: 'done' }), status: async () => undefined } as unknown as JobForwarder,
     config: replica(),
-    outcomes: { noteOutcome: () => {} },
+    outcomes: { recordOutcome: () => {} },
     clock: new SystemClock(),
     log,
     isReady: () => true
--- a/src/gateway/CallerServer.ts
+++ b/src/gateway/CallerServer.ts
@@ -8,9 +8,9 @@
 import { InFlightLimit } from '../common/requests/InFlightLimit.js'
 import { HttpListener } from '../runtime/HttpListener.js'
 import { readBody } from '../runtime/BodyReader.js'
-import { lingeringEnd } from './lingeringEnd.js'
-import { parseJob } from './JobFlow.js'
-import { route } from './RouteRequest.js'
+import { endUnreadRequest } from './endUnreadRequest.js'
+import { parseJob } from './JobForwarder.js'
+import { routeRequest } from './RouteRequest.js'
 
 import type { IncomingMessage, RequestListener, ServerResponse } from 'node:http'
 import type { ServiceBroker, ServiceSchema } from 'moleculer'
@@ -20,8 +20,8 @@
 import type { IJobStatus } from '../common/protocol/Types.js'
 import type { IClock, IFinalAnswer } from '../common/Types.js'
 import type { ICallerSettings, ILimitSettings } from '../runtime/settings/Types.js'
-import type { JobFlow } from './JobFlow.js'
-import type { RequestFlow } from './RequestFlow.js'
+import type { JobForwarder } from './JobForwarder.js'
+import type { RequestForwarder } from './RequestForwarder.js'
 import type { IOutcomeSink } from './Types.js'
 
 const MAX_JOB_BYTES = 1024 * 1024
@@ -36,8 +36,8 @@
   readonly broker: ServiceBroker
   readonly settings: ICallerSettings
   readonly limits: ILimitSettings
-  readonly requests: RequestFlow
-  readonly jobs: JobFlow
+  readonly requests: RequestForwarder
+  readonly jobs: JobForwarder
   readonly config: IConfigReplica
   readonly outcomes: IOutcomeSink
   readonly clock: IClock
@@ -116,7 +116,7 @@
 
   /** Serves a request within the limits on requests in flight; refuses one over a limit before its body is read. */
   private async _serveWithinLimits (request: IApiRequest, response: ServerResponse, serve: () => Promise<void>): Promise<void> {
-    const reservation = this._inFlightLimit.take(bytesToReserve(request, this._context.settings.maxBodyBytes))
+    const reservation = this._inFlightLimit.reserve(bytesToReserve(request, this._context.settings.maxBodyBytes))
     if (reservation.isErr()) {
       const detail = `too many ${reservation.error} in flight`
       this._sendAnswerBeforeBody(request, response, { outcome: 'refused', reason: 'overloaded', detail, retryAfterMs: OVERLOADED_RETRY_MS })
@@ -140,13 +140,13 @@
     if (head.isErr()) return this._sendBadInput(request, response, head.error)
     const body = await readBody(request, this._context.settings.maxBodyBytes)
     if (body.isErr()) return this._sendBadInput(request, response, body.error)
-    const routed = route(head.value, body.value, this._context.config, arrivedAtMs)
+    const routed = routeRequest(head.value, body.value, this._context.config, arrivedAtMs)
     if (routed.isErr()) return this._sendBadInput(request, response, routed.error)
     const disconnected = new AbortController()
     response.once('close', () => disconnected.abort())
     const answer = await this._context.requests.run(routed.value, disconnected.signal)
     const late = this._context.clock.nowMs() > routed.value.deadlineAtMs
-    this._context.outcomes.noteOutcome(head.value.service, head.value.caller, answer, late)
+    this._context.outcomes.recordOutcome(head.value.service, head.value.caller, answer, late)
     this._sendAnswer(response, answer)
   }
 
@@ -192,7 +192,7 @@
     request: IncomingMessage, response: ServerResponse, status: number, headers: Readonly<Record<string, string>>, text: string): void {
     if (request.complete) return this._send(response, status, headers, text)
     response.writeHead(status, { ...headers, 'content-length': String(Buffer.byteLength(text)), connection: 'close' })
-    lingeringEnd(request, response, text)
+    endUnreadRequest(request, response, text)
   }
 
   private _sendJson (response: ServerResponse, status: number, value: unknown, headers: Readonly<Record<string, string>> = {}): void {
--- a/src/gateway/JobFlow.ts
+++ b/src/gateway/JobForwarder.ts
@@ -10,7 +10,7 @@
 import type { IJobSpec, IJobStatus } from '../common/protocol/Types.js'
 import type { IFinalAnswer } from '../common/Types.js'
 import type { IPeerLink } from '../peer/Types.js'
-import type { IFlowContext } from './Types.js'
+import type { IForwarderContext } from './Types.js'
 
 const CALL_TIMEOUT_MS = 5000
 /** The shortest retry delay while the owner of an id shard is unreachable: a takeover takes a few seconds. */
@@ -55,8 +55,8 @@
   return err({ status: 400, field: issue?.path.join('.') || 'body', message: issue?.message ?? 'is not a job' })
 }
 
-export class JobFlow {
-  public constructor (private readonly _context: IFlowContext) {}
+export class JobForwarder {
+  public constructor (private readonly _context: IForwarderContext) {}
 
   /** The outcome `done` means that the job is stored. Submitting an accepted job id again gets the same answer. */
   public async submit (job: IJobSpec): Promise<IFinalAnswer> {
--- a/src/gateway/OutcomeInquiry.test.ts
+++ b/src/gateway/OutcomeResolver.test.ts
@@ -7,12 +7,12 @@
 import { ManualClock } from '../common/Clock.js'
 import { advance } from '../../test/support/advance.js'
 import { testConfig } from '../../test/support/JobsCell.js'
-import { OutcomeInquiry } from './OutcomeInquiry.js'
-import { route } from './RouteRequest.js'
+import { OutcomeResolver } from './OutcomeResolver.js'
+import { routeRequest } from './RouteRequest.js'
 
 import type { BlockReply } from '../common/protocol/Types.js'
 import type { IFinalAnswer } from '../common/Types.js'
-import type { IFlowContext, IRoutedRequest } from './Types.js'
+import type { IForwarderContext, IRoutedRequest } from './Types.js'
 
 interface IRecordedCall {
   readonly to: string
@@ -26,7 +26,7 @@
 
 function setUp (
   replies: readonly BlockReply[]
-): { readonly resolver: OutcomeInquiry, readonly clock: ManualClock, readonly calls: IRecordedCall[] } {
+): { readonly resolver: OutcomeResolver, readonly clock: ManualClock, readonly calls: IRecordedCall[] } {
   const clock = new ManualClock()
   const calls: IRecordedCall[] = []
   let blockCalls = 0
@@ -43,11 +43,11 @@
   const context = {
     hub: { link }, router: { ownerOf: () => 'owner' }, hasher: { claimKey: () => 'k', idShard: () => 'ids/00' }, clock, timers: clock
   }
-  return { resolver: new OutcomeInquiry(context as unknown as IFlowContext), clock, calls }
+  return { resolver: new OutcomeResolver(context as unknown as IForwarderContext), clock, calls }
 }
 
 function requestAt (nowMs: number): IRoutedRequest {
-  return route(HEAD, new Uint8Array(), testConfig(), nowMs)._unsafeUnwrap()
+  return routeRequest(HEAD, new Uint8Array(), testConfig(), nowMs)._unsafeUnwrap()
 }
 
 async function answerAfterAdvance (clock: ManualClock, answer: Promise<IFinalAnswer>): Promise<IFinalAnswer> {
@@ -62,7 +62,7 @@
   const arrivedAtMs = clock.nowMs()
   const request = requestAt(arrivedAtMs)
   await advance(clock, 400)
-  t.like(await answerAfterAdvance(clock, resolver.settle(request, 'a1', 's1')), { outcome: 'notRun' })
+  t.like(await answerAfterAdvance(clock, resolver.resolve(request, 'a1', 's1')), { outcome: 'notRun' })
   t.is(calls.length, 2)
   t.deepEqual(calls.map(({ ask }) => (ask as { readonly ageMs: number }).ageMs), calls.map(({ atMs }) => atMs - arrivedAtMs))
   t.true((calls[0]?.atMs ?? 0) >= arrivedAtMs + 400 && (calls[1]?.atMs ?? 0) > (calls[0]?.atMs ?? 0))
@@ -72,12 +72,12 @@
   // The link was lost just after the request was sent, and came back; the work has run. If the holder were not asked, the
   // caller would get "unknown" and could not tell whether to start the pivot again.
   const { resolver, clock, calls } = setUp([{ decision: 'claimed', holder: `s1#${HOLDER_INCARNATION}` }])
-  t.like(await answerAfterAdvance(clock, resolver.settle(requestAt(0), 'a1', 's1')), { outcome: 'done' })
+  t.like(await answerAfterAdvance(clock, resolver.resolve(requestAt(0), 'a1', 's1')), { outcome: 'done' })
   t.like(calls[1], { to: 's1', name: 'outcomeOf' })
 })
 
 test('the outcome is unknown if the holder of the claim has restarted', async (t) => {
   const { resolver, clock, calls } = setUp([{ decision: 'claimed', holder: 's1#1' }])
-  t.like(await answerAfterAdvance(clock, resolver.settle(requestAt(0), 'a1', 's1')), { outcome: 'unknown' })
+  t.like(await answerAfterAdvance(clock, resolver.resolve(requestAt(0), 'a1', 's1')), { outcome: 'unknown' })
   t.is(calls.length, 1)
 })
--- a/src/gateway/OutcomeInquiry.ts
+++ b/src/gateway/OutcomeResolver.ts
@@ -11,17 +11,17 @@
 
 import type { BlockReply, IClaimRequest } from '../common/protocol/Types.js'
 import type { IFinalAnswer } from '../common/Types.js'
-import type { IFlowContext, IRoutedRequest } from './Types.js'
+import type { IForwarderContext, IRoutedRequest } from './Types.js'
 
 /** The outcome is unknown if it isn't determined in this time. A takeover of the claim's shard takes a few seconds. */
 const MAX_RESOLVE_MS = 5000
 const BLOCK_TIMEOUT_MS = 1000
 const RETRY_DELAY_MS = 100
 
-export class OutcomeInquiry {
-  public constructor (private readonly _context: IFlowContext) {}
+export class OutcomeResolver {
+  public constructor (private readonly _context: IForwarderContext) {}
 
-  public async settle (request: IRoutedRequest, attemptId: string, schedulerId: string): Promise<IFinalAnswer> {
+  public async resolve (request: IRoutedRequest, attemptId: string, schedulerId: string): Promise<IFinalAnswer> {
     const endAtMs = this._context.clock.nowMs() + MAX_RESOLVE_MS
     const claimKey = this._context.hasher.claimKey(request.caller, request.requestId)
     const createClaimRequest = (): IClaimRequest => ({
--- a/src/gateway/RequestFlow.test.ts
+++ b/src/gateway/RequestForwarder.test.ts
@@ -13,7 +13,7 @@
 import { SeededRandom } from '../common/Random.js'
 import { AttemptIds, IdHasher } from '../common/requests/AttemptIds.js'
 import { settle } from '../../test/support/advance.js'
-import { RequestFlow } from './RequestFlow.js'
+import { RequestForwarder } from './RequestForwarder.js'
 
 import type { BlockReply } from '../common/protocol/Types.js'
 import type { IFinalAnswer } from '../common/Types.js'
@@ -28,7 +28,7 @@
 class Fixture {
   public readonly clock = new ManualClock()
   public readonly calls: string[] = []
-  private readonly _forwarder: RequestFlow
+  private readonly _forwarder: RequestForwarder
 
   public constructor (private readonly _answers: Array<IFinalAnswer | PeerError>, private readonly _blocks: Array<BlockReply | PeerError> = []) {
     const { clock } = this
@@ -36,14 +36,14 @@
     const router = {
       choose: ({ excluded }: { excluded: ReadonlySet<string> }) => ['s1', 's2'].find((id) => !excluded.has(id)),
       ownerOf: () => 's2',
-      noteSent: () => {},
-      noteSummary: () => {},
-      forget: () => {},
+      recordSent: () => {},
+      updateSummary: () => {},
+      removeScheduler: () => {},
       summaries: () => []
     }
     const hasher = new IdHasher((text) => text, (text) => text.length, 8)
     const common = { config: new ConfigReplica(), attemptIds: new AttemptIds(SELF), random: new SeededRandom(1), log: new SilentLogger() }
-    this._forwarder = new RequestFlow({ ...common, hub, router, hasher, clock, timers: clock })
+    this._forwarder = new RequestForwarder({ ...common, hub, router, hasher, clock, timers: clock })
   }
 
   public async run (idempotent: boolean, disconnected?: AbortSignal): Promise<IFinalAnswer> {
--- a/src/gateway/RequestFlow.ts
+++ b/src/gateway/RequestForwarder.ts
@@ -3,11 +3,11 @@
  */
 
 import { AmbiguousError } from '../common/Errors.js'
-import { OutcomeInquiry } from './OutcomeInquiry.js'
+import { OutcomeResolver } from './OutcomeResolver.js'
 
 import type { IFinalAnswer } from '../common/Types.js'
 import type { PeerError } from '../peer/Types.js'
-import type { IFlowContext, IRoutedRequest } from './Types.js'
+import type { IForwarderContext, IRoutedRequest } from './Types.js'
 
 /** How long after the deadline a reply is awaited: a scheduler may answer as late as the deadline itself. */
 const REPLY_GRACE_MS = 250
@@ -23,11 +23,11 @@
 /** Reasons that may not apply to another scheduler; nothing has run unless the outcome is `unknown`. */
 const RETRIABLE_REASONS = new Set(['overloaded', 'noUpstream', 'draining', 'upstreamRefused', 'linkLost'])
 
-export class RequestFlow {
-  private readonly _outcomeResolver: OutcomeInquiry
+export class RequestForwarder {
+  private readonly _outcomeResolver: OutcomeResolver
 
-  public constructor (private readonly _context: IFlowContext) {
-    this._outcomeResolver = new OutcomeInquiry(_context)
+  public constructor (private readonly _context: IForwarderContext) {
+    this._outcomeResolver = new OutcomeResolver(_context)
   }
 
   /** Returns the final answer as soon as it is known; never rejects. `disconnected` aborts when the caller disconnects. */
@@ -51,7 +51,7 @@
     if (link === undefined) return this._notRunAnswer(request, 'linkLost')
     if (remainingMs <= 0) return this._notRunAnswer(request, 'deadline')
     const attemptId = this._context.attemptIds.next()
-    this._context.router.noteSent(schedulerId)
+    this._context.router.recordSent(schedulerId)
     // A queued request whose caller has disconnected would delay other callers; one that already runs continues.
     const cancel = (): void => { link.call('cancel', { attemptId }, CANCEL_TIMEOUT_MS) }
     disconnected?.addEventListener('abort', cancel, { once: true })
@@ -78,7 +78,7 @@
   private async _handleFailure (request: IRoutedRequest, schedulerId: string, attemptId: string, error: PeerError): Promise<IFinalAnswer> {
     this._context.log.warn('request.linkFailed', { requestId: request.requestId, step: error.step, peer: schedulerId, attemptId })
     if (!(error instanceof AmbiguousError)) return this._notRunAnswer(request, 'linkLost')
-    if (!request.idempotent) return await this._outcomeResolver.settle(request, attemptId, schedulerId)
+    if (!request.idempotent) return await this._outcomeResolver.resolve(request, attemptId, schedulerId)
     return { ...this._notRunAnswer(request, 'linkLost'), outcome: 'unknown' }
   }
 
--- a/src/gateway/RouteRequest.ts
+++ b/src/gateway/RouteRequest.ts
@@ -16,7 +16,7 @@
  * The deadline of a non-idempotent request is at most the age at which it may still claim its id. If it waited longer, the
  * first claim of the id could have expired, and the work would run twice.
  */
-export function route (head: IRequestHead, body: Uint8Array, config: IConfigReplica, nowMs: number): Result<IRoutedRequest, IBadInput> {
+export function routeRequest (head: IRequestHead, body: Uint8Array, config: IConfigReplica, nowMs: number): Result<IRoutedRequest, IBadInput> {
   const service = config.service(head.service)
   if (service === undefined) return err({ status: 404, field: 'service', message: `${head.service} does not exist` })
   const found = config.profile(service.profile)
--- a/src/gateway/Types.ts
+++ b/src/gateway/Types.ts
@@ -10,7 +10,7 @@
 import type { IClock, IFinalAnswer, IRandom, ITimers } from '../common/Types.js'
 
 /** The dependencies for forwarding requests and jobs. */
-export interface IFlowContext {
+export interface IForwarderContext {
   readonly hub: IPeerHub
   readonly router: ISchedulerRouter
   readonly config: IConfigReplica
@@ -40,5 +40,5 @@
 
 /** Counts the outcomes of requests for operators. */
 export interface IOutcomeSink {
-  noteOutcome (service: string, caller: string, answer: IFinalAnswer, late: boolean): void
+  recordOutcome (service: string, caller: string, answer: IFinalAnswer, late: boolean): void
 }
--- a/src/gateway/lingeringEnd.ts
+++ b/src/gateway/endUnreadRequest.ts
@@ -14,7 +14,7 @@
  * Closing a connection with unread bytes resets it, and the sender would see a broken pipe instead of the answer that says
  * what is wrong with its body. Reading without a limit would let a sender exhaust the gateway.
  */
-export function lingeringEnd (request: IncomingMessage, response: ServerResponse, body: string): void {
+export function endUnreadRequest (request: IncomingMessage, response: ServerResponse, body: string): void {
   response.write(body)
   let discardedBytes = 0
   const finish = (): void => {
--- a/src/operator/Program.test.ts
+++ b/src/operator/Program.test.ts
@@ -96,7 +96,7 @@
 
 test('the outcomes of several processes are added up, and a process that does not answer is named', async t => {
   const counters = new OutcomeCounters(10)
-  for (const waitMs of [1, 1, 400]) counters.noteOutcome('chip-lookup', 'shelter', { outcome: 'done', waitMs }, waitMs > 100)
+  for (const waitMs of [1, 1, 400]) counters.recordOutcome('chip-lookup', 'shelter', { outcome: 'done', waitMs }, waitMs > 100)
   let members: readonly object[] = []
   const { url, run } = await setUp(t, { outcomes: () => okReply({ rows: counters.rows() }), members: () => okReply({ members }) })
   members = [url, url, 'http://127.0.0.1:1'].map((operatorUrl, index) => ({ processId: `gateway-${index}`, operatorUrl }))
--- a/src/runtime/Logger.ts
+++ b/src/runtime/Logger.ts
@@ -64,7 +64,7 @@
 
   private _log (level: LogLevel, event: string, fields?: ILogFields): void {
     if (LOG_LEVELS.indexOf(level) < this._minLevel) return
-    const { allowed, suppressed } = this._rateLimit.take(event)
+    const { allowed, suppressed } = this._rateLimit.admit(event)
     if (!allowed) return
     const time = new Date(this._clock.wallMs()).toISOString()
     const line = { time, level, event, process: this._options.processId, ...fields }
--- a/src/scheduler/requests/RequestService.ts
+++ b/src/scheduler/requests/RequestService.ts
@@ -2,7 +2,7 @@
  * Accepts requests from gateways, has the decision engine admit and place them, and answers each exactly once.
  */
 
-import { holderName } from '../../common/requests/ClaimHolder.js'
+import { formatHolder } from '../../common/requests/ClaimHolder.js'
 import { InFlightLimit } from '../../common/requests/InFlightLimit.js'
 import { AnswerCache } from './AnswerCache.js'
 import { Dispatcher } from './Dispatcher.js'
@@ -48,7 +48,7 @@
 
   /** Processes a request and resolves with its final answer. */
   public async submit (request: ISubmitRequest): Promise<IFinalAnswer> {
-    const permit = this._limit.take(request.body.byteLength)
+    const permit = this._limit.reserve(request.body.byteLength)
     if (permit.isErr()) return this._refusedAnswer('overloaded', `too many ${permit.error} in flight`, OVERLOADED_RETRY_MS)
     try {
       return await this._submit(request)
@@ -181,7 +181,7 @@
 
   private _claimRequest (request: ISubmitRequest): IClaimRequest {
     const claimKey = this._context.hasher.claimKey(request.caller, request.requestId)
-    const holder = holderName(this._context.self)
+    const holder = formatHolder(this._context.self)
     return { idShard: this._context.hasher.idShard(claimKey), claimKey, attemptId: request.attemptId, holder, ageMs: request.ageMs }
   }
 
