--- a/src/daemon/GatewayDaemon.ts
+++ b/src/daemon/GatewayDaemon.ts
@@ -10,8 +10,8 @@
 import { createBroker } from '../runtime/Broker.js'
 import { okReply } from '../runtime/OperatorRoutes.js'
 import { DaemonCore } from './DaemonCore.js'
-import { MembersReader } from './MembersFeed.js'
-import { OperatorSide } from './OperatorSide.js'
+import { MembersReader } from './MembersReader.js'
+import { OperatorEndpoint } from './OperatorEndpoint.js'
 
 import type { ServiceBroker } from 'moleculer'
 import type { IForwarderContext, IOutcomeSink } from '../gateway/Types.js'
@@ -29,7 +29,7 @@
   private readonly _waitTimes = new LatencyTable(MAX_SERVICES)
   private readonly _serviceTimes = new LatencyTable(MAX_SERVICES)
   private readonly _callerServer: CallerServer
-  private readonly _operatorEndpoint: OperatorSide
+  private readonly _operatorEndpoint: OperatorEndpoint
   private _membersReader: MembersReader | undefined
 
   private constructor (private readonly _core: DaemonCore, caller: ICallerSettings) {
@@ -48,7 +48,7 @@
       log,
       isReady: () => config.entries().length > 0 && router.summaries().length > 0
     })
-    this._operatorEndpoint = new OperatorSide(_core, {
+    this._operatorEndpoint = new OperatorEndpoint(_core, {
       broker: this._broker,
       times: { waitMs: this._waitTimes, serviceMs: this._serviceTimes },
       outcomes: this._outcomes,
--- a/src/daemon/JobSide.ts
+++ b/src/daemon/JobSubsystem.ts
@@ -10,15 +10,15 @@
 
 import type { IDisposable } from '../common/Types.js'
 import type { DaemonCore } from './DaemonCore.js'
-import type { OwnershipSide } from './OwnershipSide.js'
+import type { ShardOwnershipSubsystem } from './ShardOwnershipSubsystem.js'
 
-export class JobSide implements IDisposable {
+export class JobSubsystem implements IDisposable {
   public readonly engine: DecisionEngine
   public readonly tasks: TaskService
   public readonly workers: WorkerPool
   public readonly jobs: JobOwner
 
-  public constructor (core: DaemonCore, ownership: OwnershipSide) {
+  public constructor (core: DaemonCore, ownership: ShardOwnershipSubsystem) {
     const { hub, router, config, hasher, clock, random, log } = core
     const { directory } = ownership
     this.engine = new DecisionEngine(clock, random, { kind: 'resources' })
--- a/src/daemon/OperatorSide.ts
+++ b/src/daemon/OperatorEndpoint.ts
@@ -24,7 +24,7 @@
 
 const CALL_TIMEOUT_MS = 2000
 
-export interface IOperatorSideOptions {
+export interface IOperatorEndpointOptions {
   readonly broker: ServiceBroker
   /** Further routes of this kind of process. */
   readonly handlers: OperatorHandlers
@@ -32,11 +32,11 @@
   readonly outcomes?: OutcomeCounters
 }
 
-export class OperatorSide {
+export class OperatorEndpoint {
   public readonly dumps: DumpRegistry
   private readonly _server: OperatorServer
 
-  public constructor (private readonly _core: DaemonCore, options: IOperatorSideOptions) {
+  public constructor (private readonly _core: DaemonCore, options: IOperatorEndpointOptions) {
     const { settings, clock, store, hub, config, self, log, disposables } = _core
     this.dumps = new DumpRegistry(settings.limits.maxDumpBytes)
     const metrics = disposables.add(new ProcessMetrics(clock, new NodeReadings({
--- a/src/daemon/RequestSide.ts
+++ b/src/daemon/RequestSubsystem.ts
@@ -12,7 +12,7 @@
 
 import type { IFinalAnswer } from '../common/Types.js'
 import type { DaemonCore } from './DaemonCore.js'
-import type { OwnershipSide } from './OwnershipSide.js'
+import type { ShardOwnershipSubsystem } from './ShardOwnershipSubsystem.js'
 
 /**
  * How often queued requests are checked for a move to another scheduler, in ms. Load summaries arrive once a second, so a shorter
@@ -20,13 +20,13 @@
  */
 const SHIFT_INTERVAL_MS = 500
 
-export class RequestSide {
+export class RequestSubsystem {
   public readonly engine: DecisionEngine
   public readonly runners: RunnerPool
   public readonly service: RequestService
   private readonly _runnerClient = new RunnerClient()
 
-  public constructor (private readonly _core: DaemonCore, private readonly _ownership: OwnershipSide) {
+  public constructor (private readonly _core: DaemonCore, private readonly _ownership: ShardOwnershipSubsystem) {
     const { clock, log, random } = _core
     this.engine = new DecisionEngine(clock, random, { kind: 'slots' })
     this.runners = new RunnerPool({
--- a/src/daemon/SchedulerDaemon.ts
+++ b/src/daemon/SchedulerDaemon.ts
@@ -7,11 +7,11 @@
 import { errorReply, okReply } from '../runtime/OperatorRoutes.js'
 import { LoadReporter } from '../scheduler/LoadReporter.js'
 import { DaemonCore } from './DaemonCore.js'
-import { JobSide } from './JobSide.js'
-import { forwardMembers } from './MembersFeed.js'
-import { OperatorSide } from './OperatorSide.js'
-import { OwnershipSide } from './OwnershipSide.js'
-import { RequestSide } from './RequestSide.js'
+import { JobSubsystem } from './JobSubsystem.js'
+import { forwardMembers } from './MembersReader.js'
+import { OperatorEndpoint } from './OperatorEndpoint.js'
+import { ShardOwnershipSubsystem } from './ShardOwnershipSubsystem.js'
+import { RequestSubsystem } from './RequestSubsystem.js'
 
 import type { ServiceBroker } from 'moleculer'
 import type { IConfigEntry } from '../common/config/Types.js'
@@ -27,23 +27,23 @@
 
 interface ISchedulerParts {
   readonly broker: ServiceBroker
-  readonly operator: OperatorSide
+  readonly operator: OperatorEndpoint
   readonly operatorUrl: string
-  readonly ownership: OwnershipSide
+  readonly ownership: ShardOwnershipSubsystem
 }
 
 export class SchedulerDaemon implements IDaemon {
-  private readonly _ownership: OwnershipSide
-  private readonly _requests: RequestSide
-  private readonly _jobs: JobSide
+  private readonly _ownership: ShardOwnershipSubsystem
+  private readonly _requests: RequestSubsystem
+  private readonly _jobs: JobSubsystem
   private readonly _loadReporter: LoadReporter
   private _isDraining = false
   private _announcedSlots = 0
 
   private constructor (private readonly _core: DaemonCore, private readonly _parts: ISchedulerParts) {
     this._ownership = _parts.ownership
-    this._requests = new RequestSide(_core, this._ownership)
-    this._jobs = new JobSide(_core, this._ownership)
+    this._requests = new RequestSubsystem(_core, this._ownership)
+    this._jobs = new JobSubsystem(_core, this._ownership)
     this._loadReporter = this._createLoadReporter()
     this._ownership.connect(this._jobs.jobs, () => this._loadReporter.announce())
     this._requests.runners.onChange(() => this._announceSlotsSoon())
@@ -58,10 +58,10 @@
     const core = await DaemonCore.create(settings)
     const broker = createBroker(core.self.processId, core.log)
     const handlers: { current: OperatorHandlers } = { current: {} }
-    const operator = new OperatorSide(core, { broker, times: {}, handlers: createDeferredHandlers(handlers) })
+    const operator = new OperatorEndpoint(core, { broker, times: {}, handlers: createDeferredHandlers(handlers) })
     await broker.start()
     const operatorUrl = await operator.listen()
-    const ownership = await OwnershipSide.create(core, operatorUrl)
+    const ownership = await ShardOwnershipSubsystem.create(core, operatorUrl)
     const daemon = new SchedulerDaemon(core, { broker, operator, operatorUrl, ownership })
     handlers.current = daemon._operatorHandlers()
     daemon._registerDumps()
--- a/src/daemon/OwnershipSide.ts
+++ b/src/daemon/ShardOwnershipSubsystem.ts
@@ -32,7 +32,7 @@
   drop (shardId: string): void
 }
 
-export class OwnershipSide {
+export class ShardOwnershipSubsystem {
   public readonly directory: HostDirectory
   public readonly registration: MemberRegistration
   public readonly claims: ClaimService
@@ -48,8 +48,8 @@
     this.owner = this._createOwner(assignment)
   }
 
-  public static async create (core: DaemonCore, operatorUrl: string): Promise<OwnershipSide> {
-    return new OwnershipSide(core, operatorUrl, new ShardAssignment(await createHash32()))
+  public static async create (core: DaemonCore, operatorUrl: string): Promise<ShardOwnershipSubsystem> {
+    return new ShardOwnershipSubsystem(core, operatorUrl, new ShardAssignment(await createHash32()))
   }
 
   public get isStoreReachable (): boolean {
--- a/src/operator/Program.test.ts
+++ b/src/operator/Program.test.ts
@@ -11,7 +11,7 @@
 import { okReply } from '../runtime/OperatorRoutes.js'
 import { EXIT } from './ExitCodes.js'
 import { Program } from './Program.js'
-import { histogramLines, mergeBuckets, percentileMs } from './Waits.js'
+import { histogramLines, mergeBuckets, percentileMs } from './WaitHistogram.js'
 
 import type { AddressInfo } from 'node:net'
 import type { ExecutionContext } from 'ava'
--- a/src/operator/commands/StateCommands.ts
+++ b/src/operator/commands/StateCommands.ts
@@ -5,7 +5,7 @@
 import { err, ok } from 'neverthrow'
 import { OperatorClient } from '../OperatorClient.js'
 import { tableLines } from '../Table.js'
-import { histogramLines, mergeBuckets, percentileMs } from '../Waits.js'
+import { histogramLines, mergeBuckets, percentileMs } from '../WaitHistogram.js'
 
 import type { Result } from 'neverthrow'
 import type { IOutcomeRow } from '../../common/observability/Types.js'
