--- a/bench/controller.ts
+++ b/bench/controller.ts
@@ -8,8 +8,8 @@
 import yargs from 'yargs'
 import { PlatformStandIn } from '../platform/standins/PlatformStandIn.js'
 import { SeededRandom } from '../src/common/Random.js'
-import { Callers } from '../test/soak/Callers.js'
-import { Judge } from '../test/soak/Judge.js'
+import { SimulatedCallers } from '../test/soak/SimulatedCallers.js'
+import { InvariantChecker } from '../test/soak/InvariantChecker.js'
 import { ControllerCell } from '../test/support/ControllerCell.js'
 
 const HOST_CPU = 8000
@@ -27,11 +27,11 @@
     .parseAsync()
 
   const platform = new PlatformStandIn({ seed: 1, hosts: args.hosts, hostCpu: HOST_CPU, maxHoldMs: MAX_HOLD_MS, failShare: 0 })
-  const judge = new Judge(HOST_CPU)
+  const judge = new InvariantChecker(HOST_CPU)
   await platform.start(judge)
   const cell = new ControllerCell(platform, MAX_HOLD_MS, args.profile ? ['--cpu-prof'] : [])
   await cell.start(1)
-  const callers = new Callers(cell.controllers, judge, new SeededRandom(3))
+  const callers = new SimulatedCallers(cell.controllers, judge, new SeededRandom(3))
   const submitTimer = setInterval(() => { callers.submit() }, MS_PER_S / args.perSecond)
   await pause(WARM_UP_MS)
   const before = await takeReading(cell, judge)
@@ -49,7 +49,7 @@
   await platform.close()
 }
 
-async function takeReading (cell: ControllerCell, judge: Judge) {
+async function takeReading (cell: ControllerCell, judge: InvariantChecker) {
   const text = await (await request(`${cell.controllers[0]?.urls?.metrics}/metrics`)).body.text()
   const value = (name: string): number => Number(new RegExp(`^jackdawreel_${name} ([0-9.]+)`, 'm').exec(text)?.[1] ?? 0)
   return { processorSeconds: value('processor_seconds'), residentBytes: value('resident_bytes'), storeCalls: value('store_calls'), starts: judge.starts }
--- a/bench/membership.ts
+++ b/bench/membership.ts
@@ -9,7 +9,7 @@
 
 import { MEMBERSHIP_DEFAULTS } from '../src/common/membership/Options.js'
 import type { IMembersCast } from '../src/common/protocol/Types.js'
-import { startedCluster } from '../test/support/MembershipCluster.js'
+import { startCluster } from '../test/support/MembershipCluster.js'
 import type { INode, MembershipCluster } from '../test/support/MembershipCluster.js'
 
 const SIZES = [9, 30, 100, 300, 900]
@@ -70,7 +70,7 @@
 
 export function measureMembership (members: number): IMeasurement {
   const meter = new WireMeter()
-  const cluster = startedCluster(members, REGIONS, SEED, meter.recordCast)
+  const cluster = startCluster(members, REGIONS, SEED, meter.recordCast)
   for (let round = 0; round < SETTLE_ROUNDS; round++) cluster.step()
   const linksPerMember = Math.round(cluster.linkCount() * 2 / members)
   meter.reset()
--- a/bench/path.ts
+++ b/bench/path.ts
@@ -185,7 +185,7 @@
   })
   try {
     await configureExamples(speedCell.storeUrl)
-    await speedCell.untilServed()
+    await speedCell.waitUntilServed()
     await measureSpeed(speedCell)
   } finally {
     await speedCell.dispose()
@@ -194,8 +194,8 @@
   const fullCell = await Cell.start({ ...common, ...sizes })
   try {
     await configureExamples(fullCell.storeUrl)
-    await fullCell.untilServed()
-    await fullCell.untilSpread()
+    await fullCell.waitUntilServed()
+    await fullCell.waitUntilSpread()
     await measureIdle(fullCell)
     for (const line of await measureMixed(fullCell)) print({ bench: 'path', measure: 'mixed', ...line })
   } finally {
--- a/bench/slopes/IdleSlopes.ts
+++ b/bench/slopes/IdleSlopes.ts
@@ -83,7 +83,7 @@
   const watches: Array<readonly [number, number]> = []
   try {
     await configureExamples(cell.storeUrl)
-    await cell.untilServed()
+    await cell.waitUntilServed()
     for (const count of PROCESSES) {
       for (let index = cell.schedulers().length; index < count; index++) await cell.startDaemon('scheduler', REGION, `scheduler-${REGION}-${index}`)
       for (let index = cell.gateways().length; index < count; index++) await cell.startDaemon('gateway', REGION, `gateway-${REGION}-${index}`)
--- a/bench/slopes/MemberSlopes.ts
+++ b/bench/slopes/MemberSlopes.ts
@@ -3,7 +3,7 @@
  */
 
 import { MEMBERSHIP_DEFAULTS } from '../../src/common/membership/Options.js'
-import { startedCluster } from '../../test/support/MembershipCluster.js'
+import { startCluster } from '../../test/support/MembershipCluster.js'
 import { measureMembership } from '../membership.js'
 import { heapBytes, processorUsOf } from './Readings.js'
 import { printSlope } from './Slope.js'
@@ -25,7 +25,7 @@
   const memory: Array<readonly [number, number]> = []
   for (const members of MEMBERS) {
     const beforeBytes = heapBytes()
-    const cluster = startedCluster(members, REGIONS, SEED)
+    const cluster = startCluster(members, REGIONS, SEED)
     const stepRounds = (rounds: number) => (): void => { for (let round = 0; round < rounds; round++) cluster.step() }
     stepRounds(SETTLE_ROUNDS)()
     memory.push([members, (heapBytes() - beforeBytes) / members])
--- a/scripts/cell.ts
+++ b/scripts/cell.ts
@@ -13,7 +13,7 @@
 
 const cell = await Cell.start()
 await configureExamples(cell.storeUrl)
-await cell.untilServed()
+await cell.waitUntilServed()
 print('# The cell is running. In another terminal, enter:')
 print(`export JACKDAWREEL_OPERATOR=${(await operatorUrls(cell))[0] ?? ''}`)
 print(`export JACKDAWREEL_TOKEN=${OPERATOR_TOKEN}`)
--- a/scripts/try.ts
+++ b/scripts/try.ts
@@ -53,7 +53,7 @@
 /** Submits a job, waits until it has the given state, and reports the state and the number of hosts on which it runs. */
 async function tryJob (client: CallerClient, kind: string, spec: IJobSpec, state: JobState): Promise<void> {
   const submitted = await client.submitJob(spec)
-  const status = await client.untilJob(spec.jobId, (each) => each.state === state)
+  const status = await client.waitForJob(spec.jobId, (each) => each.state === state)
   const hosts = new Set(status?.tasks.map((task) => task.hostId)).size
   report(kind, submitted.status === 202 && status?.state === state, { ...submitted, region: submitted.region ?? '' }, { state: status?.state, hosts })
 }
@@ -66,7 +66,7 @@
   await tryJob(client, 'long-running service', createJob('service-1', 'chip-lookup', true, 2, { resources: smallResources }), 'running')
   for (const jobId of ['gang-1', 'service-1']) {
     const cancelled = await client.cancelJob(jobId)
-    const status = await client.untilJob(jobId, (each) => each.state === 'cancelled')
+    const status = await client.waitForJob(jobId, (each) => each.state === 'cancelled')
     report('cancelled job', status?.state === 'cancelled', cancelled, { state: status?.state })
   }
 }
@@ -80,7 +80,7 @@
     ['oversize body', 413, headers, 'chip-lookup', Buffer.alloc(8 * BODY_BYTES)]
   ]
   for (const [kind, status, requestHeaders, service, body] of cases) {
-    const reply = await client.raw('POST', `/v1/requests/${service}`, requestHeaders, body)
+    const reply = await client.sendRaw('POST', `/v1/requests/${service}`, requestHeaders, body)
     report(kind, reply.status === status && reply.outcome === 'refused', reply, JSON.parse(reply.body.toString()) as Record<string, unknown>)
   }
 }
@@ -90,7 +90,7 @@
   try {
     await configureExamples(cell.storeUrl)
     const clients = cell.gateways().slice(0, 2).map((gateway) => new CallerClient(gateway.url))
-    await cell.untilServed()
+    await cell.waitUntilServed()
     await sendAll(clients)
     await sendRepeatedRequest(clients[0] as CallerClient, clients[1] as CallerClient)
     await sendJobs(clients[0] as CallerClient)
--- a/src/common/cell/CellScheduler.test.ts
+++ b/src/common/cell/CellScheduler.test.ts
@@ -69,7 +69,7 @@
   cell.takeOver()
   await cell.run(6000)
   for (const { spec } of jobs) t.is(cell.job(spec.jobId).reportedPhase, 'completed')
-  t.is(cell.mostRunsOfOneTask, 1)
+  t.is(cell.maxRunsOfOneTask, 1)
   t.is(cell.hosts.flatMap((host) => host.started).length, 24)
 })
 
@@ -82,7 +82,7 @@
   await cell.run(5000)
   t.is(cell.host(0).running.size, 1)
   await cell.run(4000)
-  t.is(cell.mostRunsOfOneTask, 1)
+  t.is(cell.maxRunsOfOneTask, 1)
   t.true(job.steps[0]?.tasks.every((task) => task.attempt?.host.hostId === 'host-1' || task.attempt === undefined))
 })
 
@@ -92,14 +92,14 @@
   cell.host(0).losesStarts = true
   const jobs = Array.from({ length: 4 }, () => cell.submit([{}], { priority: 0 }))
   await cell.run(2000)
-  cell.host(0).carryOutLate()
+  cell.host(0).executeLateStarts()
   cell.host(0).losesStarts = false
   await cell.run(3000)
-  cell.host(0).carryOutLate()
+  cell.host(0).executeLateStarts()
   await cell.run(4000)
   for (const job of jobs) t.is(job.reportedPhase, 'completed')
-  t.is(cell.mostRunsOfOneTask, 1)
-  t.true(cell.mostOverCapacity <= 0)
+  t.is(cell.maxRunsOfOneTask, 1)
+  t.true(cell.maxOverCapacity <= 0)
 })
 
 test('a late order is not carried out by the next incarnation of its host', async (t) => {
@@ -115,10 +115,10 @@
   cell.host(0).losesStarts = false
   cell.host(1).losesStarts = false
   await cell.run(1500)
-  cell.host(0).carryOutLate()
-  cell.host(1).carryOutLate()
+  cell.host(0).executeLateStarts()
+  cell.host(1).executeLateStarts()
   await cell.run(1000)
-  t.is(cell.mostRunsOfOneTask, 1)
+  t.is(cell.maxRunsOfOneTask, 1)
 })
 
 test('a stalled run is stopped and started on another host', async (t) => {
@@ -128,7 +128,7 @@
   const jobs = Array.from({ length: 4 }, () => cell.submit([{ count: 2, maxPerHost: 1 }], { priority: 0 }))
   await cell.run(9000)
   for (const job of jobs) t.is(job.reportedPhase, 'completed')
-  t.is(cell.mostRunsOfOneTask, 1)
+  t.is(cell.maxRunsOfOneTask, 1)
 })
 
 test('a host that fails all it starts does not use up the attempts of many jobs', async (t) => {
@@ -190,12 +190,12 @@
 })
 
 test('no order carries a ticket that expired before the answer with it arrived', async (t) => {
-  const cell = new SimulatedCell({ hosts: 4, saveMs: 700, adviceMs: () => 50, adviceLateMs: 1000, ticketValidMs: 1500 })
+  const cell = new SimulatedCell({ hosts: 4, saveMs: 700, adviceMs: () => 50, adviceReplyDelayMs: 1000, ticketValidMs: 1500 })
   const advice = { baseMs: 50, perHostMs: 0, validMs: 1500 }
   const job = cell.submit([{ count: 3 }], { advice })
   const gang = cell.submit([{ count: 2, gang: true }], { advice })
   await cell.run(8000)
-  t.is(cell.staleTickets, 0)
+  t.is(cell.staleTicketCount, 0)
   t.is(job.reportedPhase, 'completed')
   t.is(gang.reportedPhase, 'completed')
 })
@@ -234,7 +234,7 @@
   const gang = cell.submit([{ count: 20, cpuMillicores: 2000, gang: true }], { advice: { baseMs: 700, perHostMs: 5, validMs: 1500 } })
   await cell.run(1300)
   t.true(gang.hasStarted)
-  t.true(cell.mostOverCapacity <= 0)
+  t.true(cell.maxOverCapacity <= 0)
 })
 
 test('gangs that arrive together start after one round of advice, since each names other hosts', async (t) => {
--- a/src/common/membership/Membership.test.ts
+++ b/src/common/membership/Membership.test.ts
@@ -6,7 +6,7 @@
 
 import fc from 'fast-check'
 
-import { MembershipCluster, startedCluster } from '../../../test/support/MembershipCluster.js'
+import { MembershipCluster, startCluster } from '../../../test/support/MembershipCluster.js'
 import type { MemberState } from '../protocol/Types.js'
 
 const SEED = 20261202
@@ -21,7 +21,7 @@
 }
 
 function settledCluster (count: number, regions = 1): MembershipCluster {
-  const cluster = startedCluster(count, regions, SEED)
+  const cluster = startCluster(count, regions, SEED)
   runSteps(cluster, 20)
   return cluster
 }
@@ -108,7 +108,7 @@
   // The store is down for minutes. When it is reachable again, all records are missing, although the members are alive
   // and only could not renew their leases. If this counted at once, all members would be suspected.
   let suspicions = 0
-  const cluster = startedCluster(40, 1, SEED, (_from, _to, cast) => {
+  const cluster = startCluster(40, 1, SEED, (_from, _to, cast) => {
     suspicions += cast.news.filter((news) => news.state === 'suspect').length
   })
   for (const node of cluster.running()) node.membership.onStoreReachable(true)
@@ -140,7 +140,7 @@
   // A bad cable interrupts the link between two processes every few seconds. Each report is sent to every member, so one
   // cable would cause traffic in the whole cell.
   const reports: number[] = []
-  const cluster = startedCluster(2, 1, SEED, (_from, _to, cast) => {
+  const cluster = startCluster(2, 1, SEED, (_from, _to, cast) => {
     if (cast.news.some((news) => news.state === 'suspect')) reports.push(cluster.round)
   })
   const [a, b] = cluster.running()
@@ -208,7 +208,7 @@
   // Kills, pauses, restarts, cuts in one direction and expired records occur in any order. If views remained different,
   // members would route work to dead processes or send none to healthy ones.
   fc.assert(fc.property(fc.array(anyFault, { maxLength: 30 }), fc.integer(), (faults, seed) => {
-    const cluster = startedCluster(PROCESSES.length, 2, seed)
+    const cluster = startCluster(PROCESSES.length, 2, seed)
     runSteps(cluster, 4)
     for (const item of faults) injectFault(cluster, item)
     cluster.healAll()
--- a/src/common/policy/Admission.test.ts
+++ b/src/common/policy/Admission.test.ts
@@ -1,6 +1,6 @@
 import test from 'ava'
 
-import { decisions, engineWith, host, profile, work } from '../../../test/policy/TestWork.js'
+import { takeDecisions, createEngine, host, profile, work } from '../../../test/policy/TestWork.js'
 
 import type { AdmitDecision, IWorkItem } from './Types.js'
 
@@ -8,12 +8,12 @@
 
 /** A host of one slot that always has work, so that the drain rate is ten requests a second. */
 function busyEngine (): { admit: (id: string, caller?: string) => AdmitDecision, advance: (ms: number) => void, givenUp: string[] } {
-  const { clock, engine } = engineWith('slots', host('h1', { cores: 1, memoryBytes: 0, accelerators: 0 }))
+  const { clock, engine } = createEngine('slots', host('h1', { cores: 1, memoryBytes: 0, accelerators: 0 }))
   const givenUp: string[] = []
   let running: IWorkItem | undefined
   let endsAtMs = 0
   const applyDecisions = (): void => {
-    for (const decision of decisions(engine)) {
+    for (const decision of takeDecisions(engine)) {
       if (decision.type === 'giveUp') givenUp.push(decision.item.id)
       if (decision.type !== 'place') continue
       running = decision.item
@@ -106,11 +106,11 @@
 })
 
 test('work that can never run is refused with a reason', (t) => {
-  const { engine } = engineWith('resources', host('h1'))
+  const { engine } = createEngine('resources', host('h1'))
   engine.putTeam({ name: 'small', maxSlots: 1, maxCores: 2, maxAccelerators: 0 })
   const large = engine.admit(work('large', { resources: { cores: 9, memoryBytes: 0, accelerators: 0 } }))
   t.like(large, { admitted: false, reason: 'infeasible' })
   const overQuota = engine.admit(work('quota', { team: 'small', resources: { cores: 3, memoryBytes: 0, accelerators: 0 } }))
   t.like(overQuota, { admitted: false, reason: 'quota' })
-  t.like(engineWith('slots').engine.admit(work('nowhere')), { admitted: false, reason: 'noUpstream' })
+  t.like(createEngine('slots').engine.admit(work('nowhere')), { admitted: false, reason: 'noUpstream' })
 })
--- a/src/common/policy/DecisionEngine.test.ts
+++ b/src/common/policy/DecisionEngine.test.ts
@@ -1,6 +1,6 @@
 import test from 'ava'
 
-import { cores, decisions, engineWith, host, placed, profile, work } from '../../../test/policy/TestWork.js'
+import { cores, takeDecisions, createEngine, host, takePlacements, profile, work } from '../../../test/policy/TestWork.js'
 
 import type { DecisionEngine } from './DecisionEngine.js'
 import type { IWorkItem } from './Types.js'
@@ -17,52 +17,52 @@
 }
 
 test('requests go to the host with the fewest in flight, tasks to the tightest fit', (t) => {
-  const slots = engineWith('slots', host('h1', cores(2)), host('h2', cores(4)))
+  const slots = createEngine('slots', host('h1', cores(2)), host('h2', cores(4)))
   admitAll(slots.engine, ...workItems(3, 's'))
-  t.deepEqual(placed(slots.engine), { s0: 'h2', s1: 'h2', s2: 'h1' })
-  const tasks = engineWith('resources', host('h1', cores(2)), host('h2', cores(4)))
+  t.deepEqual(takePlacements(slots.engine), { s0: 'h2', s1: 'h2', s2: 'h1' })
+  const tasks = createEngine('resources', host('h1', cores(2)), host('h2', cores(4)))
   admitAll(tasks.engine, ...workItems(3, 's'))
-  t.deepEqual(Object.values(placed(tasks.engine)).sort(), ['h1', 'h1', 'h2'])
+  t.deepEqual(Object.values(takePlacements(tasks.engine)).sort(), ['h1', 'h1', 'h2'])
 })
 
 test('plain work leaves the capacity reserved for free accelerators to accelerator work', (t) => {
-  const { engine } = engineWith('resources', host('gpu', { cores: 8, memoryBytes: 8, accelerators: 2 }), host('plain', { cores: 2, memoryBytes: 8, accelerators: 0 }))
+  const { engine } = createEngine('resources', host('gpu', { cores: 8, memoryBytes: 8, accelerators: 2 }), host('plain', { cores: 2, memoryBytes: 8, accelerators: 0 }))
   const accelerated = { resources: { cores: 1, memoryBytes: 1, accelerators: 1 } }
   engine.admit(work('a0', accelerated))
-  t.deepEqual(placed(engine), { a0: 'gpu' })
+  t.deepEqual(takePlacements(engine), { a0: 'gpu' })
   admitAll(engine, ...workItems(8, 'p'))
-  t.deepEqual(placed(engine), { p0: 'plain', p1: 'plain', p2: 'gpu', p3: 'gpu', p4: 'gpu' }, 'the free accelerator reserves half of its host')
+  t.deepEqual(takePlacements(engine), { p0: 'plain', p1: 'plain', p2: 'gpu', p3: 'gpu', p4: 'gpu' }, 'the free accelerator reserves half of its host')
   engine.admit(work('a1', accelerated))
-  t.deepEqual(placed(engine), { a1: 'gpu', p5: 'gpu', p6: 'gpu', p7: 'gpu' }, 'with all accelerators in use, their host is open to all work')
+  t.deepEqual(takePlacements(engine), { a1: 'gpu', p5: 'gpu', p6: 'gpu', p7: 'gpu' }, 'with all accelerators in use, their host is open to all work')
 })
 
 test('in a cell whose hosts all have accelerators, plain work waits only while accelerator work comes', (t) => {
   // Every host has accelerators that nothing uses. If their cores were kept for accelerator work for ever, plain tasks
   // would stay in the queue beside idle hosts, and an accepted job would never start.
-  const { clock, engine } = engineWith('resources', host('gpu', { cores: 8, memoryBytes: 8, accelerators: 1 }))
+  const { clock, engine } = createEngine('resources', host('gpu', { cores: 8, memoryBytes: 8, accelerators: 1 }))
   engine.admit(work('first'))
-  t.deepEqual(placed(engine), { first: 'gpu' })
+  t.deepEqual(takePlacements(engine), { first: 'gpu' })
   engine.admit(work('accelerated', { resources: { cores: 1, memoryBytes: 1, accelerators: 1 } }))
-  t.deepEqual(placed(engine), { accelerated: 'gpu' })
+  t.deepEqual(takePlacements(engine), { accelerated: 'gpu' })
   engine.recordEnd('accelerated', 'succeeded', 10)
   engine.admit(work('second'))
-  t.deepEqual(placed(engine), {})
+  t.deepEqual(takePlacements(engine), {})
   clock.advance(engine.nextWakeAtMs() - clock.nowMs())
-  t.deepEqual(placed(engine), { second: 'gpu' })
+  t.deepEqual(takePlacements(engine), { second: 'gpu' })
 })
 
 test('a service to be spread runs in each failure domain', (t) => {
   const domains = ['a', 'b', 'c'].map((failureDomain) => host(failureDomain, cores(8), { failureDomain }))
-  const { engine } = engineWith('resources', ...domains)
+  const { engine } = createEngine('resources', ...domains)
   admitAll(engine, ...workItems(3, 's', { profile: profile({ spread: 'failureDomain' }) }))
-  t.deepEqual(Object.values(placed(engine)).sort(), ['a', 'b', 'c'])
+  t.deepEqual(Object.values(takePlacements(engine)).sort(), ['a', 'b', 'c'])
 })
 
 test('the tasks of a job to be spread run in each failure domain', (t) => {
   const domains = ['a', 'b', 'c'].map((failureDomain) => host(failureDomain, cores(8), { failureDomain }))
-  const { engine } = engineWith('resources', ...domains)
+  const { engine } = createEngine('resources', ...domains)
   engine.admitGroup('job', workItems(3, 'j', { profile: profile({ spread: 'failureDomain' }) }))
-  t.deepEqual(Object.values(placed(engine)).sort(), ['a', 'b', 'c'])
+  t.deepEqual(Object.values(takePlacements(engine)).sort(), ['a', 'b', 'c'])
 })
 
 /*
@@ -70,33 +70,33 @@
  * twice.
  */
 test('an id that is queued or running is refused as a duplicate', (t) => {
-  const { engine } = engineWith('slots', host('h1', cores(1)))
+  const { engine } = createEngine('slots', host('h1', cores(1)))
   admitAll(engine, work('runs'), work('waits'))
-  placed(engine)
+  takePlacements(engine)
   t.like(engine.admit(work('runs')), { admitted: false, reason: 'duplicate' })
   t.like(engine.admit(work('waits')), { admitted: false, reason: 'duplicate' })
   engine.recordEnd('runs', 'succeeded', 1)
-  t.deepEqual(placed(engine), { waits: 'h1' })
+  t.deepEqual(takePlacements(engine), { waits: 'h1' })
 })
 
 test('team quotas and the running limit of a profile are enforced', (t) => {
-  const { engine } = engineWith('resources', host('h1', cores(64)))
+  const { engine } = createEngine('resources', host('h1', cores(64)))
   engine.putTeam({ name: 'team', maxSlots: 100, maxCores: 3, maxAccelerators: 0 })
   admitAll(engine, ...workItems(5, 'q'), ...workItems(5, 'l', { team: 'other', profile: profile({ name: 'limited', maxRunning: 2 }) }))
-  const running = Object.keys(placed(engine))
+  const running = Object.keys(takePlacements(engine))
   t.is(running.filter((id) => id.startsWith('q')).length, 3)
   t.is(running.filter((id) => id.startsWith('l')).length, 2)
   engine.recordEnd('q0', 'succeeded', 10)
-  t.is(Object.keys(placed(engine)).length, 1)
+  t.is(Object.keys(takePlacements(engine)).length, 1)
 })
 
 test('a host that is leaving keeps its running work and gets no new work', (t) => {
-  const { engine } = engineWith('slots', host('h1', cores(2)))
+  const { engine } = createEngine('slots', host('h1', cores(2)))
   admitAll(engine, ...workItems(3, 's'))
-  t.is(Object.keys(placed(engine)).length, 2)
+  t.is(Object.keys(takePlacements(engine)).length, 2)
   engine.putHost(host('h1', cores(2), { accepting: false }))
   engine.recordEnd('s0', 'succeeded', 10)
-  t.deepEqual(placed(engine), {})
+  t.deepEqual(takePlacements(engine), {})
   t.is(engine.load().running, 1)
 })
 
@@ -105,22 +105,22 @@
  * the other tasks there would slow down.
  */
 test('the larger of declared and reported usage is counted', (t) => {
-  const { engine } = engineWith('resources', host('h1', cores(8)))
+  const { engine } = createEngine('resources', host('h1', cores(8)))
   admitAll(engine, work('liar'))
-  placed(engine)
+  takePlacements(engine)
   engine.reportUsage('liar', cores(6))
   admitAll(engine, ...workItems(4, 's'))
-  t.is(Object.keys(placed(engine)).length, 2)
+  t.is(Object.keys(takePlacements(engine)).length, 2)
   engine.reportUsage('liar', cores(0.1))
   t.is(engine.load().used.cores, 3, 'a report below the declared size frees only the usage above it')
 })
 
 test('a request that can no longer end in time is given up at the announced wake time', (t) => {
-  const { clock, engine } = engineWith('slots', host('h1', cores(1)))
+  const { clock, engine } = createEngine('slots', host('h1', cores(1)))
   admitAll(engine, work('first'), work('late', { deadlineAtMs: 1_000 }))
-  placed(engine)
+  takePlacements(engine)
   clock.advance(engine.nextWakeAtMs())
-  t.like(decisions(engine)[0], { type: 'giveUp', reason: 'deadline' })
+  t.like(takeDecisions(engine)[0], { type: 'giveUp', reason: 'deadline' })
   t.true(clock.nowMs() <= 1_000)
 })
 
@@ -129,19 +129,19 @@
  * would come free before the urgent deadline.
  */
 test('urgent work preempts patient work down to its floor', (t) => {
-  const { clock, engine } = engineWith('slots', host('h1', cores(4)))
+  const { clock, engine } = createEngine('slots', host('h1', cores(4)))
   const patient = { ...PATIENT, floorShare: 0.5 }
   admitAll(engine, ...workItems(4, 'p', { profile: patient, declaredRunMs: 600_000 }))
-  placed(engine)
+  takePlacements(engine)
   admitAll(engine, ...workItems(4, 'u', { profile: URGENT, deadlineAtMs: 60_000 }))
-  t.deepEqual(decisions(engine), [])
+  t.deepEqual(takeDecisions(engine), [])
   clock.advance(engine.nextWakeAtMs())
-  const stopped = decisions(engine).flatMap((decision) => decision.type === 'preempt' ? [decision.itemId] : [])
+  const stopped = takeDecisions(engine).flatMap((decision) => decision.type === 'preempt' ? [decision.itemId] : [])
   t.is(stopped.length, 2)
   for (const id of stopped) engine.recordEnd(id, 'stopped', 100)
-  t.deepEqual(Object.keys(placed(engine)).sort(), ['u0', 'u1'])
+  t.deepEqual(Object.keys(takePlacements(engine)).sort(), ['u0', 'u1'])
   clock.advance(1_000)
-  t.deepEqual(decisions(engine), [], 'no work of a profile at its floor is stopped')
+  t.deepEqual(takeDecisions(engine), [], 'no work of a profile at its floor is stopped')
 })
 
 /*
@@ -150,13 +150,13 @@
  */
 test('a host that fails everything gets only probes until it has healed', (t) => {
   const hosts = Array.from({ length: 10 }, (_, i) => host(`h${i}`, cores(4)))
-  const { clock, engine } = engineWith('slots', ...hosts)
+  const { clock, engine } = createEngine('slots', ...hosts)
   let isBroken = true
   let lost = 0
   let placedOnBroken = 0
   for (let i = 0; i < 4_000; i++) {
     engine.admit(work(`r${i}`, { arrivedAtMs: clock.nowMs() }))
-    for (const [id, hostId] of Object.entries(placed(engine))) {
+    for (const [id, hostId] of Object.entries(takePlacements(engine))) {
       const fails = hostId === 'h0' && isBroken
       if (fails) lost += 1
       if (hostId === 'h0') placedOnBroken += 1
@@ -173,23 +173,23 @@
 })
 
 test('a service that fails on all hosts puts no host on probation', (t) => {
-  const { clock, engine } = engineWith('slots', ...Array.from({ length: 10 }, (_, i) => host(`h${i}`, cores(4))))
+  const { clock, engine } = createEngine('slots', ...Array.from({ length: 10 }, (_, i) => host(`h${i}`, cores(4))))
   for (let i = 0; i < 500; i++) {
     engine.admit(work(`r${i}`))
-    for (const id of Object.keys(placed(engine))) engine.recordEnd(id, 'failed', 1)
+    for (const id of Object.keys(takePlacements(engine))) engine.recordEnd(id, 'failed', 1)
     clock.advance(5)
   }
   t.deepEqual(engine.dump()['onProbation'], [])
 })
 
 test('work found at a takeover is counted even beyond the capacity', (t) => {
-  const { engine } = engineWith('slots', host('h1', cores(1)))
+  const { engine } = createEngine('slots', host('h1', cores(1)))
   for (const item of workItems(2, 's')) engine.adopt(item, 'h1')
   engine.admit(work('new'))
   engine.recordEnd('s0', 'succeeded', 1)
-  t.deepEqual(placed(engine), {})
+  t.deepEqual(takePlacements(engine), {})
   engine.recordEnd('s1', 'succeeded', 1)
-  t.deepEqual(placed(engine), { new: 'h1' })
+  t.deepEqual(takePlacements(engine), { new: 'h1' })
 })
 
 /*
@@ -197,27 +197,27 @@
  * its retries; but if no other host is left, waiting for one would never end.
  */
 test('a retry avoids the host of the failed attempt while there is another host', (t) => {
-  const { engine } = engineWith('slots', host('h1', cores(4)), host('h2', cores(1)))
+  const { engine } = createEngine('slots', host('h1', cores(4)), host('h2', cores(1)))
   admitAll(engine, work('a', { avoidHostIds: ['h1'] }), work('b', { avoidHostIds: ['h1'] }))
-  t.deepEqual(placed(engine), { a: 'h2' })
+  t.deepEqual(takePlacements(engine), { a: 'h2' })
   engine.removeHost('h2')
-  t.deepEqual(placed(engine), { b: 'h1' })
+  t.deepEqual(takePlacements(engine), { b: 'h1' })
 })
 
 test('work that only removed hosts could hold is given up at once', (t) => {
   // A shard changes its owner while work waits for its hosts. Left in the queue, a job that the remaining hosts can't
   // hold would stay "accepted" for ever, though the new owner of the shard could start it.
-  const { engine } = engineWith('resources', host('h1', cores(8)), host('h2', cores(8)), host('small', cores(2)))
+  const { engine } = createEngine('resources', host('h1', cores(8)), host('h2', cores(8)), host('small', cores(2)))
   engine.adopt(work('r1', { resources: cores(8) }), 'h1')
   engine.adopt(work('r2', { resources: cores(8) }), 'h2')
   admitAll(engine, work('large', { resources: cores(6) }))
   engine.admitGroup('job', workItems(2, 'job', { resources: cores(7) }))
-  t.deepEqual(placed(engine), {})
+  t.deepEqual(takePlacements(engine), {})
   engine.putHost(host('h1', cores(8), { accepting: false }))
-  t.deepEqual(decisions(engine), [], 'a host that does not accept work now may accept it again at any time')
+  t.deepEqual(takeDecisions(engine), [], 'a host that does not accept work now may accept it again at any time')
   engine.removeHost('h1')
-  t.deepEqual(decisions(engine).map((each) => each.type === 'giveUp' && [each.item.id, each.reason]), [['job0', 'infeasible'], ['job1', 'infeasible']])
+  t.deepEqual(takeDecisions(engine).map((each) => each.type === 'giveUp' && [each.item.id, each.reason]), [['job0', 'infeasible'], ['job1', 'infeasible']])
   engine.removeHost('h2')
-  t.deepEqual(decisions(engine).map((each) => each.type === 'giveUp' && [each.item.id, each.reason]), [['large', 'infeasible']])
+  t.deepEqual(takeDecisions(engine).map((each) => each.type === 'giveUp' && [each.item.id, each.reason]), [['large', 'infeasible']])
   t.like(engine.admitGroup('job', workItems(2, 'job', { resources: cores(2) })), { admitted: false, reason: 'infeasible' })
 })
--- a/src/common/policy/EngineDifferential.test.ts
+++ b/src/common/policy/EngineDifferential.test.ts
@@ -1,7 +1,7 @@
 import test from 'ava'
 import fc from 'fast-check'
 
-import { cores, decisions, host, profile, work } from '../../../test/policy/TestWork.js'
+import { cores, takeDecisions, host, profile, work } from '../../../test/policy/TestWork.js'
 import { ManualClock } from '../Clock.js'
 import { SeededRandom } from '../Random.js'
 import { DecisionEngine } from './DecisionEngine.js'
@@ -120,7 +120,7 @@
   }
 
   private _applyDecisions (): void {
-    for (const decision of decisions(this._engine)) {
+    for (const decision of takeDecisions(this._engine)) {
       if (decision.type !== 'place') throw new Error(`unexpected ${decision.type}`)
       const { item, hostId } = decision
       const size = this._sizes.get(item.id) ?? 0
--- a/src/common/policy/GroupPlacer.test.ts
+++ b/src/common/policy/GroupPlacer.test.ts
@@ -1,6 +1,6 @@
 import test from 'ava'
 
-import { cores, decisions, engineWith, host, placed, work } from '../../../test/policy/TestWork.js'
+import { cores, takeDecisions, createEngine, host, takePlacements, work } from '../../../test/policy/TestWork.js'
 
 import type { DecisionEngine } from './DecisionEngine.js'
 import type { IWorkItem } from './Types.js'
@@ -14,13 +14,13 @@
 }
 
 test('a job starts all its tasks at once or none', (t) => {
-  const { engine } = engineWith('resources', host('h1', cores(8)))
+  const { engine } = createEngine('resources', host('h1', cores(8)))
   engine.admit(work('small', { resources: cores(8) }))
-  placed(engine)
+  takePlacements(engine)
   engine.admitGroup('job', tasks('j', 2))
-  t.deepEqual(placed(engine), {})
+  t.deepEqual(takePlacements(engine), {})
   finish(engine, 'small')
-  t.deepEqual(Object.keys(placed(engine)), ['j0', 'j1'])
+  t.deepEqual(Object.keys(takePlacements(engine)), ['j0', 'j1'])
 })
 
 /*
@@ -28,13 +28,13 @@
  * one moment would wait for ever, although every small task is served at once.
  */
 test('a job in a stream of small tasks starts within the run time of the tasks ahead of it', (t) => {
-  const { clock, engine } = engineWith('resources', host('h1', cores(8)), host('h2', cores(8)))
+  const { clock, engine } = createEngine('resources', host('h1', cores(8)), host('h2', cores(8)))
   const ends = new Map<string, number>()
   let startedAtMs = Infinity
   for (let i = 0; i < 400; i++) {
     for (let k = 0; k < 2; k++) engine.admit(work(`s${i}-${k}`, { arrivedAtMs: clock.nowMs(), service: 'small', declaredRunMs: 1_000 }))
     if (i === 50) engine.admitGroup('job', tasks('j', 3, { arrivedAtMs: clock.nowMs(), declaredRunMs: 1_000 }))
-    for (const id of Object.keys(placed(engine))) {
+    for (const id of Object.keys(takePlacements(engine))) {
       ends.set(id, clock.nowMs() + 1_000)
       if (id === 'j0') startedAtMs = clock.nowMs()
     }
@@ -49,37 +49,37 @@
  * start and the hosts would be idle.
  */
 test('two jobs that do not fit at the same time start one after the other', (t) => {
-  const { clock, engine } = engineWith('resources', host('h1', cores(8)), host('h2', cores(8)))
+  const { clock, engine } = createEngine('resources', host('h1', cores(8)), host('h2', cores(8)))
   for (const item of tasks('s', 4)) engine.admit(item)
-  placed(engine)
+  takePlacements(engine)
   engine.admitGroup('a', tasks('a', 3))
   engine.admitGroup('b', tasks('b', 3))
   clock.advance(2_000)
-  t.deepEqual(placed(engine), {})
+  t.deepEqual(takePlacements(engine), {})
   for (const id of ['s0', 's1', 's2', 's3']) {
     finish(engine, id)
     clock.advance(10)
   }
-  t.deepEqual(Object.keys(placed(engine)).sort(), ['a0', 'a1', 'a2'])
+  t.deepEqual(Object.keys(takePlacements(engine)).sort(), ['a0', 'a1', 'a2'])
   finish(engine, 'a0', 'a1', 'a2')
-  t.deepEqual(Object.keys(placed(engine)).sort(), ['b0', 'b1', 'b2'])
+  t.deepEqual(Object.keys(takePlacements(engine)).sort(), ['b0', 'b1', 'b2'])
 })
 
 test('a reservation waits for capacity, starts on request and releases its capacity when dropped', (t) => {
-  const { engine } = engineWith('resources', host('h1', cores(8)))
+  const { engine } = createEngine('resources', host('h1', cores(8)))
   engine.admit(work('small', { resources: cores(4) }))
-  placed(engine)
+  takePlacements(engine)
   t.deepEqual(engine.reserve('r', tasks('r', 2), 10_000), ['r0'])
   t.is(engine.startReserved('r'), undefined)
   finish(engine, 'small')
-  decisions(engine)
+  takeDecisions(engine)
   t.deepEqual([...engine.reservedIds('r')].sort(), ['r0', 'r1'])
   t.deepEqual(engine.startReserved('r')?.map(({ hostId }) => hostId), ['h1', 'h1'])
   engine.reserve('again', tasks('again', 1), 10_000)
   engine.dropReservation('again')
   finish(engine, 'r0')
   engine.admit(work('next', { resources: cores(4) }))
-  t.deepEqual(placed(engine), { next: 'h1' })
+  t.deepEqual(takePlacements(engine), { next: 'h1' })
 })
 
 /*
@@ -87,14 +87,14 @@
  * capacity would be held for ever and stay unused.
  */
 test('a reservation that expires releases its capacity and can no longer start', (t) => {
-  const { clock, engine } = engineWith('resources', host('h1', cores(8)))
+  const { clock, engine } = createEngine('resources', host('h1', cores(8)))
   t.is(engine.reserve('r', tasks('r', 2), 5_000).length, 2)
   engine.admit(work('next', { resources: cores(8) }))
-  t.deepEqual(placed(engine), {})
+  t.deepEqual(takePlacements(engine), {})
   t.true(engine.nextWakeAtMs() <= 5_000)
   clock.advance(5_000)
   t.is(engine.startReserved('r'), undefined)
-  t.deepEqual(placed(engine), { next: 'h1' })
+  t.deepEqual(takePlacements(engine), { next: 'h1' })
 })
 
 /*
@@ -102,13 +102,13 @@
  * left.
  */
 test('holds on a lost host are replaced by holds on other hosts', (t) => {
-  const { engine } = engineWith('resources', host('h1', cores(4)), host('h2', cores(4)), host('h3', cores(4)))
+  const { engine } = createEngine('resources', host('h1', cores(4)), host('h2', cores(4)), host('h3', cores(4)))
   engine.reserve('r', tasks('r', 2), 10_000)
   const held = engine.reservedIds('r')
   t.is(held.length, 2)
   engine.removeHost('h1')
   engine.removeHost('h2')
   engine.putHost(host('h4', cores(4)))
-  decisions(engine)
+  takeDecisions(engine)
   t.deepEqual(engine.startReserved('r')?.map(({ hostId }) => hostId).sort(), ['h3', 'h4'])
 })
--- a/src/runtime/HostListClient.test.ts
+++ b/src/runtime/HostListClient.test.ts
@@ -5,7 +5,7 @@
 import test from 'ava'
 
 import { UnreachableError } from '../common/Errors.js'
-import { hostAt, startHostList } from '../../test/standins/inProcess.js'
+import { createHostRecord, startHostList } from '../../test/standins/inProcess.js'
 import { eventually } from '../../test/support/Eventually.js'
 import { HostListClient } from './HostListClient.js'
 
@@ -13,7 +13,7 @@
   const hostList = await startHostList(t, 50)
   const client = new HostListClient({ url: hostList.url, callTimeoutMs: 2000 })
   t.teardown(() => { client.dispose() })
-  const host = hostAt('http://127.0.0.1:1')
+  const host = createHostRecord('http://127.0.0.1:1')
   hostList.standIn.control({ put: [host, { hostId: 'broken' }] })
   const hosts = await eventually('the host is listed', async () => {
     const listed = (await client.list())._unsafeUnwrap()
@@ -32,7 +32,7 @@
   t.teardown(() => { client.dispose() })
   hostList.standIn.control({ down: true })
   t.true((await client.list())._unsafeUnwrapErr() instanceof UnreachableError)
-  hostList.server.refuse()
+  hostList.server.refuseConnections()
   t.true((await client.list())._unsafeUnwrapErr() instanceof UnreachableError)
 })
 
@@ -42,7 +42,7 @@
   const hostList = await startHostList(t, 0)
   const client = new HostListClient({ url: hostList.url, callTimeoutMs: 2000 })
   t.teardown(() => { client.dispose() })
-  const host = hostAt('http://127.0.0.1:1')
+  const host = createHostRecord('http://127.0.0.1:1')
   hostList.standIn.control({ put: [host] })
   t.deepEqual((await client.list())._unsafeUnwrap(), [host])
   hostList.standIn.control({ put: [{ hostId: host.hostId, kind: 'toaster' }] })
--- a/src/runtime/RunnerClient.test.ts
+++ b/src/runtime/RunnerClient.test.ts
@@ -9,7 +9,7 @@
 
 import type { AddressInfo } from 'node:net'
 import { AmbiguousError, FencedError, RefusedError, UnreachableError } from '../common/Errors.js'
-import { hostAt, startRunner } from '../../test/standins/inProcess.js'
+import { createHostRecord, startRunner } from '../../test/standins/inProcess.js'
 import { eventually } from '../../test/support/Eventually.js'
 import { RUNNER_CLIENT_DEFAULTS, RunnerClient } from './RunnerClient.js'
 
@@ -54,7 +54,7 @@
   const runner = await startRunner(t)
   const body = randomBytes(1024 * 1024)
   const call = callOf('a1', { body, caller: 'Tierheim Süd / 北', requestId: 'eins, zwei\n%20' })
-  const answer = (await clientOf(t).run(hostAt(runner.url), call))._unsafeUnwrap()
+  const answer = (await clientOf(t).run(createHostRecord(runner.url), call))._unsafeUnwrap()
   t.is(answer.status, 200)
   t.is(answer.contentType, 'application/octet-stream')
   t.true(body.equals(answer.body))
@@ -64,7 +64,7 @@
 test('an error status of the service is a response and not a refusal', async (t) => {
   const runner = await startRunner(t)
   runner.standIn.control({ failEverything: true })
-  const answer = (await clientOf(t).run(hostAt(runner.url), callOf('a1')))._unsafeUnwrap()
+  const answer = (await clientOf(t).run(createHostRecord(runner.url), callOf('a1')))._unsafeUnwrap()
   t.is(answer.status, 500)
   t.is(dumpOf(runner.standIn).started, 1)
 })
@@ -74,7 +74,7 @@
   // success status, and treat it as the whole list.
   const runner = await startRunner(t)
   runner.standIn.control({ services: { chipLookup: { cutRate: 1 } } })
-  const error = (await clientOf(t).run(hostAt(runner.url), callOf('a1')))._unsafeUnwrapErr()
+  const error = (await clientOf(t).run(createHostRecord(runner.url), callOf('a1')))._unsafeUnwrapErr()
   t.true(error instanceof AmbiguousError)
   t.is(dumpOf(runner.standIn).started, 1)
 })
@@ -89,7 +89,7 @@
   await new Promise<void>((resolve) => { server.listen(0, '127.0.0.1', resolve) })
   t.teardown(() => { server.close() })
   const url = `http://127.0.0.1:${(server.address() as AddressInfo).port}`
-  t.true((await clientOf(t).run(hostAt(url), callOf('a1')))._unsafeUnwrapErr() instanceof AmbiguousError)
+  t.true((await clientOf(t).run(createHostRecord(url), callOf('a1')))._unsafeUnwrapErr() instanceof AmbiguousError)
 })
 
 test('a runner without a free slot or one that is leaving refuses a call, which has not run', async (t) => {
@@ -99,12 +99,12 @@
   runner.standIn.control({ services: { '*': { runMs: LONG_MS } } })
   const client = clientOf(t)
   const abort = new AbortController()
-  const first = client.run(hostAt(runner.url), callOf('a1', { signal: abort.signal }))
+  const first = client.run(createHostRecord(runner.url), callOf('a1', { signal: abort.signal }))
   await eventually('the slot is in use', () => dumpOf(runner.standIn).slotsInUse === 1)
   const other = clientOf(t)
-  t.is((await other.run(hostAt(runner.url), callOf('a2')))._unsafeUnwrapErr().constructor, RefusedError)
+  t.is((await other.run(createHostRecord(runner.url), callOf('a2')))._unsafeUnwrapErr().constructor, RefusedError)
   runner.standIn.control({ leaving: true })
-  t.is((await other.run(hostAt(runner.url), callOf('a3')))._unsafeUnwrapErr().constructor, RefusedError)
+  t.is((await other.run(createHostRecord(runner.url), callOf('a3')))._unsafeUnwrapErr().constructor, RefusedError)
   t.deepEqual(dumpOf(runner.standIn).records.map((record) => record.attemptId), ['a1'])
   abort.abort()
   t.true((await first)._unsafeUnwrapErr() instanceof AmbiguousError)
@@ -115,24 +115,24 @@
   // to the new owner's calls, or a pivot would be started twice.
   const runner = await startRunner(t)
   const client = clientOf(t)
-  const status = (await client.fence(hostAt(runner.url), { shardId: 'shard-1', epoch: 7 }))._unsafeUnwrap()
+  const status = (await client.fence(createHostRecord(runner.url), { shardId: 'shard-1', epoch: 7 }))._unsafeUnwrap()
   t.is(status.slots, 8)
-  const error = (await client.run(hostAt(runner.url), callOf('a1')))._unsafeUnwrapErr()
+  const error = (await client.run(createHostRecord(runner.url), callOf('a1')))._unsafeUnwrapErr()
   t.true(error instanceof FencedError && error.currentEpoch === 7)
   t.is(dumpOf(runner.standIn).started, 0)
 })
 
 test('a call to a host that accepts no connections is unreachable', async (t) => {
   const runner = await startRunner(t)
-  runner.server.refuse()
-  t.true((await clientOf(t).run(hostAt(runner.url), callOf('a1')))._unsafeUnwrapErr() instanceof UnreachableError)
+  runner.server.refuseConnections()
+  t.true((await clientOf(t).run(createHostRecord(runner.url), callOf('a1')))._unsafeUnwrapErr() instanceof UnreachableError)
 })
 
 test('a call that times out on the runner may have run', async (t) => {
   // The runner is slow or its response is lost. If the call counted as "not run", the caller would send a broadcast again.
   const runner = await startRunner(t)
   runner.standIn.control({ services: { '*': { hangRate: 1 } } })
-  const error = (await clientOf(t).run(hostAt(runner.url), callOf('a1', { timeoutMs: 300 })))._unsafeUnwrapErr()
+  const error = (await clientOf(t).run(createHostRecord(runner.url), callOf('a1', { timeoutMs: 300 })))._unsafeUnwrapErr()
   t.true(error instanceof AmbiguousError)
   t.is(dumpOf(runner.standIn).started, 1)
 })
@@ -143,7 +143,7 @@
   const runner = await startRunner(t, 8)
   runner.standIn.control({ services: { slow: { runMs: 200 } } })
   const client = clientOf(t)
-  const host = hostAt(runner.url, 'runner', 1)
+  const host = createHostRecord(runner.url, 'runner', 1)
   const first = client.run(host, callOf('a1', { service: 'slow' }))
   const second = client.run(host, callOf('a2', { timeoutMs: 20 }))
   t.true((await second)._unsafeUnwrapErr() instanceof UnreachableError)
@@ -166,7 +166,7 @@
   })
   await new Promise<void>((resolve) => { server.listen(0, '127.0.0.1', resolve) })
   t.teardown(() => { server.close() })
-  const host = hostAt(`http://127.0.0.1:${(server.address() as AddressInfo).port}`, 'runner', 1)
+  const host = createHostRecord(`http://127.0.0.1:${(server.address() as AddressInfo).port}`, 'runner', 1)
   const client = clientOf(t)
   t.true((await client.run(host, callOf('a1'))).isOk())
   t.true((await client.run(host, callOf('a2')))._unsafeUnwrapErr() instanceof AmbiguousError)
@@ -180,9 +180,9 @@
   runner.standIn.control({ services: { '*': { runMs: LONG_MS } } })
   const client = clientOf(t)
   const aborts = Array.from({ length: 50 }, () => new AbortController())
-  const calls = aborts.map(({ signal }, index) => client.run(hostAt(runner.url), callOf(`a${index}`, { signal })))
+  const calls = aborts.map(({ signal }, index) => client.run(createHostRecord(runner.url), callOf(`a${index}`, { signal })))
   await eventually('all slots are in use', () => dumpOf(runner.standIn).slotsInUse === 8)
-  const status = (await client.fence(hostAt(runner.url), { shardId: 'shard-1', epoch: 2 }))._unsafeUnwrap()
+  const status = (await client.fence(createHostRecord(runner.url), { shardId: 'shard-1', epoch: 2 }))._unsafeUnwrap()
   t.is(status.slotsInUse, 8)
   for (const abort of aborts) abort.abort()
   const errors = (await Promise.all(calls)).map((result) => result._unsafeUnwrapErr())
@@ -197,5 +197,5 @@
   runner.standIn.control({ services: { '*': { answerBytes: 5000 } } })
   const client = new RunnerClient({ ...RUNNER_CLIENT_DEFAULTS, maxAnswerBytes: 4096 })
   t.teardown(() => { client.dispose() })
-  t.true((await client.run(hostAt(runner.url), callOf('a1')))._unsafeUnwrapErr() instanceof AmbiguousError)
+  t.true((await client.run(createHostRecord(runner.url), callOf('a1')))._unsafeUnwrapErr() instanceof AmbiguousError)
 })
--- a/src/runtime/WorkerClient.test.ts
+++ b/src/runtime/WorkerClient.test.ts
@@ -6,7 +6,7 @@
 
 import type { ExecutionContext } from 'ava'
 import { AmbiguousError, FencedError, RefusedError, UnreachableError } from '../common/Errors.js'
-import { hostAt, startWorker } from '../../test/standins/inProcess.js'
+import { createHostRecord, startWorker } from '../../test/standins/inProcess.js'
 import { WORKER_CLIENT_DEFAULTS, WorkerClient } from './WorkerClient.js'
 
 import type { IFence, ITaskStart } from './Types.js'
@@ -29,7 +29,7 @@
 
 test('the long poll reports the end of a task at once, and renews leases on the host\'s clock', async (t) => {
   const worker = await startWorker(t, OFFSET_MS)
-  const host = hostAt(worker.url, 'worker')
+  const host = createHostRecord(worker.url, 'worker')
   const client = clientOf(t)
   const { hostMs } = (await client.fence(host, FENCE))._unsafeUnwrap()
   t.true(hostMs >= OFFSET_MS)
@@ -45,7 +45,7 @@
   // A start is delayed in the network, and meanwhile the task is placed on another host. If the delayed start still ran, the
   // task would run on two hosts at once.
   const worker = await startWorker(t)
-  const host = hostAt(worker.url, 'worker')
+  const host = createHostRecord(worker.url, 'worker')
   const client = clientOf(t)
   const { hostMs } = (await client.fence(host, FENCE))._unsafeUnwrap()
   t.true((await client.stop(host, FENCE, 'stopped', 1)).isOk())
@@ -56,7 +56,7 @@
 
 test('an older epoch is fenced, a leaving worker refuses, a hanging one is ambiguous, and a dead one is unreachable', async (t) => {
   const worker = await startWorker(t)
-  const host = hostAt(worker.url, 'worker')
+  const host = createHostRecord(worker.url, 'worker')
   const client = clientOf(t, 100)
   const { hostMs } = (await client.fence(host, { ...FENCE, epoch: 3 }))._unsafeUnwrap()
   const fenced = (await client.start(host, FENCE, [taskOf('a', hostMs + LONG_MS)]))._unsafeUnwrapErr()
@@ -67,6 +67,6 @@
   worker.standIn.control({ leaving: false, hang: true })
   const hung = await client.start(host, { ...FENCE, epoch: 3 }, [taskOf('a', hostMs + LONG_MS)])
   t.true(hung._unsafeUnwrapErr() instanceof AmbiguousError)
-  worker.server.refuse()
+  worker.server.refuseConnections()
   t.true((await client.fence(host, { ...FENCE, epoch: 3 }))._unsafeUnwrapErr() instanceof UnreachableError)
 })
--- a/src/scheduler/jobs/JobRun.test.ts
+++ b/src/scheduler/jobs/JobRun.test.ts
@@ -5,14 +5,14 @@
 import test from 'ava'
 import { SeededRandom } from '../../common/Random.js'
 import { loadChart } from '../../runtime/ChartLoader.js'
-import { jobOf } from '../../../test/support/JobsCell.js'
+import { createJob } from '../../../test/support/JobsCell.js'
 import { JobRun } from './JobRun.js'
 
 test('a task that is refused repeatedly waits longer each time, with jitter, up to a limit', (t) => {
   // Two all-at-once jobs each reserve half of the places and give them back. With equal pauses they would collide every
   // time, and neither would start.
   const rules = { allAtOnce: true, maxRetries: 0 }
-  const run = new JobRun(jobOf(1, 1000), 1, { taskChart: loadChart('task')._unsafeUnwrap(), random: new SeededRandom(1), rules: () => rules })
+  const run = new JobRun(createJob(1, 1000), 1, { taskChart: loadChart('task')._unsafeUnwrap(), random: new SeededRandom(1), rules: () => rules })
   const task = [...run.tasks][0]
   if (task === undefined) throw new Error('the job has a task')
   let nowMs = 0
--- a/src/scheduler/jobs/JobsOverLinks.test.ts
+++ b/src/scheduler/jobs/JobsOverLinks.test.ts
@@ -13,7 +13,7 @@
 import { WorkerClient } from '../../runtime/WorkerClient.js'
 import { startWorker } from '../../../test/standins/inProcess.js'
 import { eventually } from '../../../test/support/Eventually.js'
-import { FakeJobLog, ID_SHARD, jobOf, testConfig } from '../../../test/support/JobsCell.js'
+import { FakeJobLog, ID_SHARD, createJob, testConfig } from '../../../test/support/JobsCell.js'
 import { identity, startHub } from '../../../test/support/PeerHubs.js'
 import { JobOwner, JobPeers, registerJobHandlers, TaskService, WorkerPool } from './index.js'
 
@@ -159,7 +159,7 @@
   second.takeShard('workers/r1', 1)
   await eventually('both workers are in use', () => cell.schedulers.every((scheduler) =>
     scheduler.summary().shards.some((shard) => shard.free.cores === 8)))
-  const job = jobOf(16, 3000)
+  const job = createJob(16, 3000)
   t.like(await first.jobs.submit(job), { outcome: 'done' })
   await eventually('all tasks run', () => workerDumps(cell).every((dump) => dump.running === 8))
   await second.close()
@@ -182,7 +182,7 @@
   second.takeShard('workers/r0', 1)
   second.takeShard('workers/r1', 1)
   await eventually('both workers are in use', () => second.summary().shards.some((shard) => shard.free.cores === 16))
-  t.like(await first.jobs.submit(jobOf(4, undefined, { longRunning: true })), { outcome: 'done' })
+  t.like(await first.jobs.submit(createJob(4, undefined, { longRunning: true })), { outcome: 'done' })
   await eventually('all tasks run', () => workerDumps(cell).reduce((sum, dump) => sum + dump.running, 0) === 4)
   await first.close()
   second.takeShard(ID_SHARD, 2)
--- a/src/scheduler/jobs/TaskSurvey.test.ts
+++ b/src/scheduler/jobs/TaskSurvey.test.ts
@@ -9,7 +9,7 @@
 import { SeededRandom } from '../../common/Random.js'
 import { loadChart } from '../../runtime/ChartLoader.js'
 import { workerHost } from '../../../test/support/FakeWorkers.js'
-import { jobOf } from '../../../test/support/JobsCell.js'
+import { createJob } from '../../../test/support/JobsCell.js'
 import { JobRun } from './JobRun.js'
 import { TaskSurvey } from './TaskSurvey.js'
 
@@ -28,7 +28,7 @@
 
 function recoveredRun (): JobRun {
   const context = { taskChart: loadChart('task')._unsafeUnwrap(), random: new SeededRandom(1), rules: () => ({ allAtOnce: false, maxRetries: 0 }) }
-  const run = new JobRun(jobOf(1, 1000), 2, context)
+  const run = new JobRun(createJob(1, 1000), 2, context)
   run.markRecovered(0)
   return run
 }
--- a/src/scheduler/ownership/ClaimService.test.ts
+++ b/src/scheduler/ownership/ClaimService.test.ts
@@ -79,11 +79,11 @@
   const store = new MemoryStore()
   const service = createService('p1', store, clock)
   await service.takeOver(SHARD, 1)
-  store.hold()
+  store.holdAnswers()
   const first = service.claim(claimRequest('a'))
   await advance(clock, 1_100)
   t.is((await first).decision, 'unavailable')
-  store.letGo()
+  store.releaseAnswers()
   await advance(clock, 400)
   const replies = [service.claim(claimRequest('a')), service.claim(claimRequest('b'))]
   await advance(clock, 200)
--- a/src/scheduler/ownership/Claims.fuzz.test.ts
+++ b/src/scheduler/ownership/Claims.fuzz.test.ts
@@ -62,8 +62,8 @@
   public async injectFault (kind: Fault): Promise<void> {
     if (kind === 'down') this._store.setDown(true)
     if (kind === 'up') this._store.setDown(false)
-    if (kind === 'hang') this._store.hold()
-    if (kind === 'answer') this._store.letGo()
+    if (kind === 'hang') this._store.holdAnswers()
+    if (kind === 'answer') this._store.releaseAnswers()
     if (kind === 'answerLost' || kind === 'requestLost') this._store.failNextWrite(kind)
     await settle()
   }
@@ -75,7 +75,7 @@
   /** Removes all faults, then checks that claims are served again: a new attempt of an unused key must be dispatched. */
   public async finish (): Promise<void> {
     this._store.clearFaults()
-    this._store.letGo()
+    this._store.releaseAnswers()
     this._store.setDown(false)
     this.takeOver(0)
     await this.advanceTime(3_000)
--- a/src/scheduler/ownership/Ownership.fuzz.test.ts
+++ b/src/scheduler/ownership/Ownership.fuzz.test.ts
@@ -46,7 +46,7 @@
   }
 
   public lapseLease (index: number): void {
-    this._store.lapse(`lease-${index + 1}`)
+    this._store.expireLease(`lease-${index + 1}`)
   }
 
   public releaseShard (index: number): void {
--- a/src/scheduler/ownership/ShardOwner.test.ts
+++ b/src/scheduler/ownership/ShardOwner.test.ts
@@ -92,7 +92,7 @@
   await advance(clock, 1_000)
   t.deepEqual(paused.events, ['+ids/00@1'])
   store.put('shards/ids/00', JSON.stringify({ shardId: 'ids/00', kind: 'ids', owner: 'p2', ownerIncarnation: 1, epoch: 2, nonce: 'x' }))
-  store.lapse('lease-1')
+  store.expireLease('lease-1')
   await advance(clock, 3_000)
   t.true(paused.member.registered)
   t.deepEqual(paused.events, ['+ids/00@1', '-ids/00@1 taken', '+ids/00@3'])
--- a/test/ControllerPath.test.ts
+++ b/test/ControllerPath.test.ts
@@ -9,7 +9,7 @@
 import { CALLER_HOST, PlatformStandIn } from '../platform/standins/PlatformStandIn.js'
 import { ControllerCell, PACKED_BINARY } from './support/ControllerCell.js'
 import { eventually } from './support/Eventually.js'
-import { Judge } from './soak/Judge.js'
+import { InvariantChecker } from './soak/InvariantChecker.js'
 
 import type { ExecutionContext } from 'ava'
 import type { IController } from './support/ControllerCell.js'
@@ -19,7 +19,7 @@
 
 async function withCell (t: ExecutionContext, count: number, binary?: string) {
   const platform = new PlatformStandIn({ seed: 1, hosts: 3, hostCpu: HOST_CPU, maxHoldMs: MAX_HOLD_MS, failShare: 0 })
-  const checker = new Judge(HOST_CPU)
+  const checker = new InvariantChecker(HOST_CPU)
   await platform.start(checker)
   const cell = new ControllerCell(platform, MAX_HOLD_MS, [], binary)
   t.teardown(async () => {
@@ -42,7 +42,7 @@
   return JSON.stringify({ spec: 's', steps })
 }
 
-function addSubmittedJob (checker: Judge, jobId: string, counts: readonly number[]): void {
+function addSubmittedJob (checker: InvariantChecker, jobId: string, counts: readonly number[]): void {
   checker.jobs.set(jobId, { jobId, gang: false, cpu: 500, counts, accepted: true, isPossiblyAccepted: true, refusedSubmissions: 0 })
 }
 
--- a/test/OperatorPath.test.ts
+++ b/test/OperatorPath.test.ts
@@ -21,7 +21,7 @@
     await cell.dispose()
   })
   await configureExamples(cell.storeUrl)
-  await cell.untilServed()
+  await cell.waitUntilServed()
   const environment = {
     JACKDAWREEL_OPERATOR: (await operatorUrls(cell))[0], JACKDAWREEL_GATEWAY: cell.gateways()[0]?.url, JACKDAWREEL_TOKEN: OPERATOR_TOKEN, USER: 'ann'
   }
--- a/test/policy/TestWork.ts
+++ b/test/policy/TestWork.ts
@@ -53,7 +53,7 @@
   return { hostId, shardId: 'shard', region: 'lakes-west', failureDomain: 'a', capacity, accepting: true, ...changes }
 }
 
-export function engineWith (kind: CapacityKind, ...hosts: readonly IEngineHost[]): { clock: ManualClock, engine: DecisionEngine } {
+export function createEngine (kind: CapacityKind, ...hosts: readonly IEngineHost[]): { clock: ManualClock, engine: DecisionEngine } {
   const clock = new ManualClock()
   const engine = new DecisionEngine(clock, new SeededRandom(1), { kind })
   for (const engineHost of hosts) engine.putHost(engineHost)
@@ -61,16 +61,16 @@
 }
 
 /** Takes decisions from the engine until it has no more, and returns them. */
-export function decisions (engine: IDecisionEngine): readonly EngineDecision[] {
+export function takeDecisions (engine: IDecisionEngine): readonly EngineDecision[] {
   const taken: EngineDecision[] = []
   for (let decision = engine.next(); decision !== undefined; decision = engine.next()) taken.push(decision)
   return taken
 }
 
 /** Takes all decisions from the engine; returns the host of each item that was placed, by item id. */
-export function placed (engine: IDecisionEngine): Readonly<Record<string, string>> {
+export function takePlacements (engine: IDecisionEngine): Readonly<Record<string, string>> {
   const hostByItem: Record<string, string> = {}
-  for (const decision of decisions(engine)) {
+  for (const decision of takeDecisions(engine)) {
     if (decision.type === 'place') hostByItem[decision.item.id] = decision.hostId
   }
   return hostByItem
--- a/test/prove/ConfigProofs.ts
+++ b/test/prove/ConfigProofs.ts
@@ -56,7 +56,7 @@
   }
 
   private async _poll (): Promise<void> {
-    await Promise.all(this._cell.processes.filter(({ handle }) => handle.running).map(async ({ processId, operatorUrl }) => {
+    await Promise.all(this._cell.processes.filter(({ handle }) => handle.isRunning).map(async ({ processId, operatorUrl }) => {
       const reply = await fetchReplicaEntry(operatorUrl)
       if (reply?.entry !== undefined) this._recordRevision(processId, reply.entry.revision)
     }))
--- a/test/prove/FailoverProofs.ts
+++ b/test/prove/FailoverProofs.ts
@@ -2,8 +2,8 @@
  * Proofs about failover: service resumes after a scheduler was killed, and cut links cause no lost or repeated requests.
  */
 
-import { Judge } from './Judge.js'
-import { DEFAULT_LOAD, Load } from './Load.js'
+import { RecordChecker } from './RecordChecker.js'
+import { DEFAULT_LOAD, LoadGenerator } from './LoadGenerator.js'
 import { NON_IDEMPOTENT, setRunners, sleep, proofResult, withCell } from './Harness.js'
 
 import type { Cell, ICellProcess } from '../support/Cell.js'
@@ -38,12 +38,12 @@
     kills.push({ at: Date.now(), hostIds })
     await sleep(AFTER_KILL_MS)
     await cell.startDaemon('scheduler', victim.region, victim.processId)
-    await cell.untilSpread()
+    await cell.waitUntilSpread()
   }
   return kills
 }
 
-function checkResumed (checker: Judge, kills: readonly IKill[]): number {
+function checkResumed (checker: RecordChecker, kills: readonly IKill[]): number {
   const tookMs = kills.flatMap(({ at, hostIds }) => hostIds.map((hostId) => {
     const later = checker.starts.filter((start) => start.hostId === hostId && start.startedAt > at + IN_TRANSIT_MS)
     const first = Math.min(...later.map((start) => start.startedAt))
@@ -64,11 +64,11 @@
   failure: 'schedulers killed one after the other under load, with the store up',
   run: async (scale) => await withCell({ schedulersPerRegion: 2, runnersPerRegion: 4, hostsPerRack: 2 }, async (cell) => {
     await setRunners(cell, { services: { '*': { runMs: 20 } } })
-    const load = new Load(cell, { ...DEFAULT_LOAD, perSecond: 600, seed: 19 })
+    const load = new LoadGenerator(cell, { ...DEFAULT_LOAD, perSecond: 600, seed: 19 })
     await load.start()
     const kills = await killInTurn(cell, 2 * scale)
     const open = await load.finish()
-    const checker = await Judge.collect(cell, load.records)
+    const checker = await RecordChecker.collect(cell, load.records)
     const worstMs = checkResumed(checker, kills)
     checker.checkCapacity().checkNotRun().checkAtMostOnce(NON_IDEMPOTENT).checkWholeAnswers().checkEnded(open, () => false)
     const result = proofResult(checker, kills.length)
@@ -88,7 +88,7 @@
   failure: 'links between processes cut in one direction, the other, and both',
   run: async (scale) => await withCell({ schedulersPerRegion: 2, runnersPerRegion: 4, hostsPerRack: 2, forwardsPeers: true }, async (cell) => {
     await setRunners(cell, { services: { '*': { runMs: 60 } } })
-    const load = new Load(cell, { ...DEFAULT_LOAD, perSecond: 300, repeatShare: 0.3, seed: 20 })
+    const load = new LoadGenerator(cell, { ...DEFAULT_LOAD, perSecond: 300, repeatShare: 0.3, seed: 20 })
     await load.start()
     const cuts: ReadonlyArray<readonly Direction[]> = [['toTarget'], ['toClient'], ['toTarget', 'toClient']]
     for (let round = 0; round < 3 * scale; round++) {
@@ -100,7 +100,7 @@
       await sleep(2000)
     }
     const open = await load.finish()
-    const checker = await Judge.collect(cell, load.records)
+    const checker = await RecordChecker.collect(cell, load.records)
     checker.checkCapacity().checkNotRun().checkAtMostOnce(NON_IDEMPOTENT).checkWholeAnswers().checkEnded(open, () => false)
     return proofResult(checker, checker.starts.length)
   })
--- a/test/prove/Harness.ts
+++ b/test/prove/Harness.ts
@@ -6,7 +6,7 @@
 import { configureExamples } from '../support/Configure.js'
 
 import type { ICellOptions } from '../support/Cell.js'
-import type { Judge } from './Judge.js'
+import type { RecordChecker } from './RecordChecker.js'
 import type { IProofResult, ProofBody } from './Types.js'
 
 export const NON_IDEMPOTENT = ['pivot-start', 'neighbour-broadcast'] as const
@@ -23,8 +23,8 @@
   const cell = await Cell.start({ workersPerRegion: 0, ...options })
   try {
     await configureExamples(cell.storeUrl)
-    await cell.untilServed()
-    await cell.untilSpread()
+    await cell.waitUntilServed()
+    await cell.waitUntilSpread()
     return await body(cell)
   } finally {
     await cell.dispose()
@@ -35,6 +35,6 @@
   await Promise.all(cell.hosts.filter((host) => host.kind === 'runner').map(async (host) => { await cell.control(host.url, control) }))
 }
 
-export function proofResult (checker: Judge, checked: number): IProofResult {
+export function proofResult (checker: RecordChecker, checked: number): IProofResult {
   return { checked, violations: checker.violations, notes: { ...checker.outcomes(), noUpstreamSeconds: checker.secondsByGateway('noUpstream') } }
 }
--- a/test/prove/JobProofs.ts
+++ b/test/prove/JobProofs.ts
@@ -72,7 +72,7 @@
   const untilMs = performance.now() + FINISH_LIMIT_MS
   const unfinished: string[] = []
   for (const { jobId } of jobs) {
-    const status = await client.untilJob(jobId, ({ state }) => state === 'succeeded', Math.max(0, untilMs - performance.now()))
+    const status = await client.waitForJob(jobId, ({ state }) => state === 'succeeded', Math.max(0, untilMs - performance.now()))
     if (status?.state !== 'succeeded') unfinished.push(`${jobId} is ${status?.state ?? 'unknown'}${status?.reason === undefined ? '' : ` (${status.reason})`}`)
   }
   return unfinished
--- a/test/prove/LifecycleProofs.ts
+++ b/test/prove/LifecycleProofs.ts
@@ -2,8 +2,8 @@
  * Proofs about planned changes: hosts that leave, and processes that are stopped.
  */
 
-import { Judge } from './Judge.js'
-import { DEFAULT_LOAD, Load } from './Load.js'
+import { RecordChecker } from './RecordChecker.js'
+import { DEFAULT_LOAD, LoadGenerator } from './LoadGenerator.js'
 import { submitDuring } from './JobProofs.js'
 import { NON_IDEMPOTENT, setRunners, sleep, proofResult, withCell } from './Harness.js'
 
@@ -40,7 +40,7 @@
   failure: 'one runner leaves by the host list and one by its own report, with the store up and then down',
   run: async (scale) => await withCell({ runnersPerRegion: 4 }, async (cell) => {
     await setRunners(cell, { services: { '*': { runMs: 30 } } })
-    const load = new Load(cell, { ...DEFAULT_LOAD, perSecond: 400, services: ['chip-lookup', 'pivot-stop'], seed: 16 })
+    const load = new LoadGenerator(cell, { ...DEFAULT_LOAD, perSecond: 400, services: ['chip-lookup', 'pivot-stop'], seed: 16 })
     await load.start()
     await sleep(1000)
     const first = await startLeaving(cell, runnersOf(cell))
@@ -53,7 +53,7 @@
     await sleep(5000 * scale)
     await cell.control(cell.storeControlUrl, { outage: 'none' })
     const open = await load.finish()
-    const checker = await Judge.collect(cell, load.records)
+    const checker = await RecordChecker.collect(cell, load.records)
     checkNoLateStarts(checker, first, second[0]?.at ?? 0)
     checkNoLateStarts(checker, second, Infinity)
     checker.checkCapacity().checkNotRun().checkWholeAnswers().checkEnded(open, () => false)
@@ -61,7 +61,7 @@
   })
 }
 
-function checkNoLateStarts (checker: Judge, departures: readonly IDeparture[], untilAt: number): void {
+function checkNoLateStarts (checker: RecordChecker, departures: readonly IDeparture[], untilAt: number): void {
   for (const departure of departures) {
     const backAt = untilAt === Infinity ? Infinity : departure.at + 5000
     const late = checker.starts.filter((start) => start.hostId === departure.hostId &&
@@ -119,7 +119,7 @@
   run: async (scale) => await withCell({ gatewaysPerRegion: 2, schedulersPerRegion: 2, runnersPerRegion: 4, hostsPerRack: 2 }, async (cell) => {
     // The longest requests run for longer than a stopping gateway still accepts connections.
     await setRunners(cell, { services: { '*': { runMs: 120 }, 'sector-sweep': { runMs: 1500 } } })
-    const load = new Load(cell, { ...DEFAULT_LOAD, perSecond: 120, deadlineMs: 6000, seed: 17 })
+    const load = new LoadGenerator(cell, { ...DEFAULT_LOAD, perSecond: 120, deadlineMs: 6000, seed: 17 })
     await load.start()
     const badEnds: string[] = []
     for (let round = 0; round < scale; round++) {
@@ -131,7 +131,7 @@
       }
     }
     const open = await load.finish()
-    const checker = await Judge.collect(cell, load.records)
+    const checker = await RecordChecker.collect(cell, load.records)
     for (const end of badEnds) checker.addViolation(end)
     checker.checkEnded(open, () => false).checkNotRun().checkAtMostOnce(NON_IDEMPOTENT).checkWholeAnswers().checkCapacity()
     for (const { call, reply } of load.records) {
--- a/test/prove/Load.ts
+++ b/test/prove/LoadGenerator.ts
@@ -36,7 +36,7 @@
   repeatShare: 0
 }
 
-export class Load {
+export class LoadGenerator {
   public readonly records: ICallRecord[] = []
   private readonly _clients = new Map<string, CallerClient>()
   private readonly _random: SeededRandom
--- a/test/prove/Judge.ts
+++ b/test/prove/RecordChecker.ts
@@ -23,7 +23,7 @@
   readonly doubleRuns: number
 }
 
-export class Judge {
+export class RecordChecker {
   public readonly starts: IRunnerRecord[] = []
   private readonly _violations: string[] = []
   private readonly _startsByRequest = new Map<string, IRunnerRecord[]>()
@@ -33,8 +33,8 @@
   private constructor (private readonly _records: readonly ICallRecord[]) {}
 
   /** Reads the records of the stand-ins. */
-  public static async collect (cell: Cell, records: readonly ICallRecord[]): Promise<Judge> {
-    const checker = new Judge(records)
+  public static async collect (cell: Cell, records: readonly ICallRecord[]): Promise<RecordChecker> {
+    const checker = new RecordChecker(records)
     const urlsOf = (kind: 'runner' | 'worker'): readonly string[] => cell.hosts.filter((host) => host.kind === kind).map((host) => host.url)
     checker._runners = await Promise.all(urlsOf('runner').map(async (url) => await cell.dump<IRunnerDump>(url)))
     checker._workers = await Promise.all(urlsOf('worker').map(async (url) => await cell.dump<IWorkerDump>(url)))
--- a/test/prove/RequestProofs.ts
+++ b/test/prove/RequestProofs.ts
@@ -3,22 +3,22 @@
  */
 
 import { NON_IDEMPOTENT, setRunners, sleep, proofResult, withCell } from './Harness.js'
-import { Judge } from './Judge.js'
-import { DEFAULT_LOAD, Load } from './Load.js'
+import { RecordChecker } from './RecordChecker.js'
+import { DEFAULT_LOAD, LoadGenerator } from './LoadGenerator.js'
 
 import type { Cell } from '../support/Cell.js'
-import type { ILoadOptions } from './Load.js'
+import type { ILoadOptions } from './LoadGenerator.js'
 import type { IProof } from './Types.js'
 
 /** Sends load until `injectFaults` has finished; returns the checker and the requests that never ended. */
 async function runUnderLoad (
   cell: Cell, options: Partial<ILoadOptions>, injectFaults: () => Promise<void>
-): Promise<{ checker: Judge, open: Load['records'] }> {
-  const load = new Load(cell, { ...DEFAULT_LOAD, ...options })
+): Promise<{ checker: RecordChecker, open: LoadGenerator['records'] }> {
+  const load = new LoadGenerator(cell, { ...DEFAULT_LOAD, ...options })
   await load.start()
   await injectFaults()
   const open = await load.finish()
-  const checker = await Judge.collect(cell, load.records)
+  const checker = await RecordChecker.collect(cell, load.records)
   return { checker, open: [...open] }
 }
 
--- a/test/soak/ConfigProbes.ts
+++ b/test/soak/ConfigProber.ts
@@ -10,21 +10,21 @@
 import type { PlatformStandIn } from '../../platform/standins/PlatformStandIn.js'
 import type { IController } from '../support/ControllerCell.js'
 import type { ProcessHandle } from '../support/Processes.js'
-import type { Judge } from './Judge.js'
+import type { InvariantChecker } from './InvariantChecker.js'
 
 const PROBE_INTERVAL_MS = 250
 const TIMEOUT_MS = 2000
 const STATUS_OK = 200
 const STATUS_NOT_FOUND = 404
 
-export class ConfigProbes {
+export class ConfigProber {
   private readonly _agent = new Agent({ keepAliveTimeout: 60_000, connections: 1 })
   /** The newest version that each process has served since it started. */
   private readonly _served = new Map<ProcessHandle, number>()
   private _timer: NodeJS.Timeout | undefined
 
   public constructor (
-    private readonly _controllers: readonly IController[], private readonly _platform: PlatformStandIn, private readonly _checker: Judge
+    private readonly _controllers: readonly IController[], private readonly _platform: PlatformStandIn, private readonly _checker: InvariantChecker
   ) {}
 
   public start (): void {
--- a/test/soak/Faults.ts
+++ b/test/soak/FaultInjector.ts
@@ -6,14 +6,14 @@
 import type { PlatformStandIn } from '../../platform/standins/PlatformStandIn.js'
 import type { SeededRandom } from '../../src/common/Random.js'
 import type { ControllerCell, IController } from '../support/ControllerCell.js'
-import type { Judge } from './Judge.js'
+import type { InvariantChecker } from './InvariantChecker.js'
 
 /** Starts a fault and resolves with the function that ends it. */
 type Fault = () => Promise<() => void | Promise<void>>
 
 const NOTHING_TO_UNDO = (): void => {}
 
-export class Faults {
+export class FaultInjector {
   /** The injected faults, in order, for the report. */
   public readonly log: string[] = []
   private readonly _activeFaults = new Set<Promise<void>>()
@@ -23,7 +23,7 @@
   public constructor (
     private readonly _cell: ControllerCell,
     private readonly _platform: PlatformStandIn,
-    private readonly _checker: Judge,
+    private readonly _checker: InvariantChecker,
     private readonly _random: SeededRandom
   ) {
     this._faults = new Map<string, Fault>([
--- a/test/soak/Judge.ts
+++ b/test/soak/InvariantChecker.ts
@@ -28,7 +28,7 @@
 const UNREPORTED_END_MS = 3000
 const MAX_ATTEMPTS = 6
 
-export class Judge implements IHostEvents {
+export class InvariantChecker implements IHostEvents {
   public readonly violations: string[] = []
   public readonly jobs = new Map<string, ICheckedJob>()
   public starts = 0
--- a/test/soak/Callers.ts
+++ b/test/soak/SimulatedCallers.ts
@@ -8,7 +8,7 @@
 
 import type { SeededRandom } from '../../src/common/Random.js'
 import type { IController } from '../support/ControllerCell.js'
-import type { ICheckedJob, Judge } from './Judge.js'
+import type { ICheckedJob, InvariantChecker } from './InvariantChecker.js'
 
 type QueueName = keyof typeof QUEUE_PREFIXES
 
@@ -19,7 +19,7 @@
 
 interface IAnswer { readonly status: number, readonly body: string }
 
-export class Callers {
+export class SimulatedCallers {
   /** Keeps connections open until the controller's process has ended, as real callers do. */
   private readonly _agent = new Agent({ keepAliveTimeout: 60_000, connections: 8 })
   private readonly _openSubmissions = new Set<Promise<void>>()
@@ -28,7 +28,7 @@
   public accepted = 0
 
   public constructor (
-    private readonly _controllers: readonly IController[], private readonly _checker: Judge, private readonly _random: SeededRandom
+    private readonly _controllers: readonly IController[], private readonly _checker: InvariantChecker, private readonly _random: SeededRandom
   ) {}
 
   /** Submits one job without waiting for the answer. */
@@ -38,12 +38,12 @@
     submission.finally(() => { this._openSubmissions.delete(submission) }).catch(() => {})
   }
 
-  public async settled (): Promise<void> {
+  public async waitForSubmissions (): Promise<void> {
     while (this._openSubmissions.size > 0) await Promise.all(this._openSubmissions)
   }
 
   /** Queries the state of a job at a random controller; undefined if the controller doesn't return it. */
-  public async state (jobId: string, queue: QueueName): Promise<string | undefined> {
+  public async queryState (jobId: string, queue: QueueName): Promise<string | undefined> {
     const answer = await this._call('GET', QUEUE_PREFIXES[queue] + jobId)
     if (answer?.status === 410) {
       this._checker.recordUnknownJob(jobId)
@@ -74,7 +74,7 @@
     if (!job.accepted) return
     this.accepted += 1
     if (cancels) await this._cancel(job, queue)
-    else await this.state(job.jobId, queue)
+    else await this.queryState(job.jobId, queue)
   }
 
   private async _trySubmit (job: ICheckedJob, queue: QueueName, body: string): Promise<void> {
--- a/test/soak/Soak.ts
+++ b/test/soak/Soak.ts
@@ -6,10 +6,10 @@
 import { PlatformStandIn } from '../../platform/standins/PlatformStandIn.js'
 import { SeededRandom } from '../../src/common/Random.js'
 import { ControllerCell } from '../support/ControllerCell.js'
-import { Callers } from './Callers.js'
-import { ConfigProbes } from './ConfigProbes.js'
-import { Faults } from './Faults.js'
-import { Judge } from './Judge.js'
+import { SimulatedCallers } from './SimulatedCallers.js'
+import { ConfigProber } from './ConfigProber.js'
+import { FaultInjector } from './FaultInjector.js'
+import { InvariantChecker } from './InvariantChecker.js'
 
 export interface ISoakOptions {
   readonly seed: number
@@ -41,13 +41,13 @@
 
 export async function runSoak (options: ISoakOptions): Promise<ISoakReport> {
   const platform = new PlatformStandIn({ seed: options.seed, hosts: options.hosts, hostCpu: HOST_CPU, maxHoldMs: MAX_HOLD_MS, failShare: FAIL_SHARE })
-  const checker = new Judge(HOST_CPU)
+  const checker = new InvariantChecker(HOST_CPU)
   await platform.start(checker)
   const cell = new ControllerCell(platform, MAX_HOLD_MS)
   const random = new SeededRandom(options.seed + 1)
-  const callers = new Callers(cell.controllers, checker, new SeededRandom(options.seed + 2))
-  const probes = new ConfigProbes(cell.controllers, platform, checker)
-  const faults = new Faults(cell, platform, checker, random)
+  const callers = new SimulatedCallers(cell.controllers, checker, new SeededRandom(options.seed + 2))
+  const probes = new ConfigProber(cell.controllers, platform, checker)
+  const faults = new FaultInjector(cell, platform, checker, random)
   try {
     await cell.start(options.controllers)
     probes.start()
@@ -65,7 +65,7 @@
   return { seed: options.seed, violations: checker.violations, submitted, accepted, starts: checker.starts, faults: faults.log, logs }
 }
 
-async function runWithFaults (forMs: number, callers: Callers, faults: Faults, random: SeededRandom): Promise<void> {
+async function runWithFaults (forMs: number, callers: SimulatedCallers, faults: FaultInjector, random: SeededRandom): Promise<void> {
   const untilMs = performance.now() + forMs
   const submitTimer = setInterval(() => { callers.submit() }, SUBMIT_INTERVAL_MS)
   while (performance.now() < untilMs) {
@@ -74,22 +74,22 @@
   }
   await faults.waitUntilEnded()
   clearInterval(submitTimer)
-  await callers.settled()
+  await callers.waitForSubmissions()
 }
 
-async function waitForJobs (callers: Callers, checker: Judge): Promise<void> {
+async function waitForJobs (callers: SimulatedCallers, checker: InvariantChecker): Promise<void> {
   const untilMs = performance.now() + SETTLE_TIMEOUT_MS
   let open = [...checker.jobs.values()].filter((job) => job.accepted)
   const states = new Map<string, string | undefined>()
   while (open.length > 0 && performance.now() < untilMs) {
-    for (const { jobId } of open) states.set(jobId, await callers.state(jobId, callers.queues.get(jobId) ?? 'urgent'))
+    for (const { jobId } of open) states.set(jobId, await callers.queryState(jobId, callers.queues.get(jobId) ?? 'urgent'))
     open = open.filter(({ finalState }) => finalState === undefined)
     if (open.length > 0) await pause(POLL_MS)
   }
   for (const { jobId } of open) checker.reportUnfinishedJob(jobId, states.get(jobId) ?? 'in an unknown state')
 }
 
-async function waitForConfig (probes: ConfigProbes, checker: Judge, version: number): Promise<void> {
+async function waitForConfig (probes: ConfigProber, checker: InvariantChecker, version: number): Promise<void> {
   const untilMs = performance.now() + SETTLE_TIMEOUT_MS
   let outdated = await probes.outdatedControllers()
   while (outdated.length > 0 && performance.now() < untilMs) {
--- a/test/standins/KeyValueStandIn.ts
+++ b/test/standins/KeyValueStandIn.ts
@@ -4,7 +4,7 @@
  */
 
 import { SeededRandom } from '../../src/common/Random.js'
-import { drop, readJson, sendJson } from './StandInServer.js'
+import { dropConnection, readJson, sendJson } from './StandInServer.js'
 
 import type { IExchange, IStandIn } from './StandInServer.js'
 
@@ -80,7 +80,7 @@
   }
 
   public handle (exchange: IExchange): void {
-    if (this._switches.outage === 'reset' || this._switches.outage === 'refuse') drop(exchange)
+    if (this._switches.outage === 'reset' || this._switches.outage === 'refuse') dropConnection(exchange)
     else if (this._switches.slowMs > 0 && this._switches.outage === 'none') setTimeout(() => { this._serve(exchange) }, this._switches.slowMs)
     else if (this._switches.outage === 'none') this._serve(exchange)
   }
@@ -95,7 +95,7 @@
     if (isWrite && this._random.next() < this._switches.loseAnswers) {
       this._count.lost += 1
       this._perform({ ...exchange, response: DISCARDING_RESPONSE })
-      drop(exchange)
+      dropConnection(exchange)
       return
     }
     this._perform(exchange)
@@ -199,7 +199,7 @@
   }
 
   /** Ends the time of all leases, so that the next sweep expires them. */
-  public lapseAll (): void {
+  public expireAllLeases (): void {
     for (const lease of this._leases.values()) lease.lapsesAtMs = performance.now()
   }
 
--- a/test/standins/RunnerStandIn.ts
+++ b/test/standins/RunnerStandIn.ts
@@ -6,7 +6,7 @@
 import { createHash } from 'node:crypto'
 
 import { SeededRandom } from '../../src/common/Random.js'
-import { drop, readJson, sendJson } from './StandInServer.js'
+import { dropConnection, readJson, sendJson } from './StandInServer.js'
 
 import type { IExchange, IStandIn } from './StandInServer.js'
 
@@ -89,7 +89,7 @@
 
   public handle (exchange: IExchange): void {
     if (this._switches.hang) return
-    if (this._switches.reset) drop(exchange)
+    if (this._switches.reset) dropConnection(exchange)
     else if (exchange.path.startsWith('/run/')) this._run(exchange)
     else if (exchange.path === '/fence') this._fence(exchange)
     else if (exchange.path === '/status') sendJson(exchange, 200, this._status())
@@ -182,7 +182,7 @@
 
   private _cutAnswer (exchange: IExchange): void {
     exchange.response.writeHead(200, { 'content-length': exchange.body.length + 1 })
-    exchange.response.write(exchange.body, () => { drop(exchange) })
+    exchange.response.write(exchange.body, () => { dropConnection(exchange) })
     exchange.response.flushHeaders()
   }
 }
--- a/test/standins/StandInServer.ts
+++ b/test/standins/StandInServer.ts
@@ -58,19 +58,19 @@
   }
 
   /** Closes the listener and all connections, so that new connections are refused. */
-  public refuse (): void {
+  public refuseConnections (): void {
     this._server.close()
-    this.cut()
+    this.cutConnections()
   }
 
   /** Closes all open connections; new connections are still accepted. */
-  public cut (): void {
+  public cutConnections (): void {
     for (const socket of this._sockets) socket.destroy()
   }
 
   public close (): void {
     this._standIn.close?.()
-    this.refuse()
+    this.refuseConnections()
   }
 
   private _trackSocket (socket: Socket): void {
@@ -115,6 +115,6 @@
 }
 
 /** Closes the connection of a request without an answer. */
-export function drop (exchange: IExchange): void {
+export function dropConnection (exchange: IExchange): void {
   exchange.response.socket?.destroy()
 }
--- a/test/standins/WorkerStandIn.ts
+++ b/test/standins/WorkerStandIn.ts
@@ -3,7 +3,7 @@
  * records each start and end, so that a test can find overlapping attempts of a task and hosts above their capacity.
  */
 
-import { drop, readJson, sendJson } from './StandInServer.js'
+import { dropConnection, readJson, sendJson } from './StandInServer.js'
 
 import type { IResources } from '../../src/common/Types.js'
 import type { ITaskStart, ITaskStatus, TaskEnd } from '../../src/runtime/Types.js'
@@ -80,7 +80,7 @@
     for (const task of this._running) Object.assign(task, { end: 'hostDied', endedAt: Date.now() })
     for (const task of this._tasks.values()) task.endSequence = 0
     this._running.clear()
-    for (const sync of this._waitingSyncs) drop(sync.exchange)
+    for (const sync of this._waitingSyncs) dropConnection(sync.exchange)
     this._epochs.clear()
     this._stoppedAttempts.clear()
     this._sequence = 0
@@ -107,7 +107,7 @@
   }
 
   public handle (exchange: IExchange): void {
-    if (this._switches.dead) return drop(exchange)
+    if (this._switches.dead) return dropConnection(exchange)
     if (this._switches.hang) return
     const call = readJson<IFencedCall>(exchange)
     const current = this._epochs.get(call.shardId) ?? 0
--- a/test/standins/inProcess.ts
+++ b/test/standins/inProcess.ts
@@ -24,8 +24,8 @@
 export async function startStore (t: ExecutionContext): Promise<IStartedStandIn<KeyValueStandIn>> {
   const started = await startStandIn(t, new KeyValueStandIn())
   started.standIn.onOutage = (outage) => {
-    if (outage === 'refuse') started.server.refuse()
-    else if (outage === 'reset') started.server.cut()
+    if (outage === 'refuse') started.server.refuseConnections()
+    else if (outage === 'reset') started.server.cutConnections()
     else started.server.listen().catch(() => {})
   }
   return started
@@ -44,7 +44,7 @@
   return startStandIn(t, new WorkerStandIn({ hostId: 'worker-0', capacity, clockOffsetMs, clockRate: 1 }))
 }
 
-export function hostAt (url: string, kind: HostKind = 'runner', slots = 8): IHostRecord {
+export function createHostRecord (url: string, kind: HostKind = 'runner', slots = 8): IHostRecord {
   return {
     hostId: `${kind}-0`,
     kind,
--- a/test/standins/kv.ts
+++ b/test/standins/kv.ts
@@ -16,7 +16,7 @@
 const [server] = await runStandIns([standIn], Number(values.port), { controlUrl })
 // Deferred, so that the answer to the control call itself is still sent.
 standIn.onOutage = (outage) => setImmediate(() => {
-  if (outage === 'refuse') server?.refuse()
-  else if (outage === 'reset') server?.cut()
+  if (outage === 'refuse') server?.refuseConnections()
+  else if (outage === 'reset') server?.cutConnections()
   else server?.listen().catch(() => {})
 })
--- a/test/support/CallerClient.ts
+++ b/test/support/CallerClient.ts
@@ -44,10 +44,10 @@
     if (call.idempotent !== undefined) headers['x-jackdawreel-idempotent'] = String(call.idempotent)
     if (call.deadlineMs !== undefined) headers['x-jackdawreel-deadline-ms'] = String(call.deadlineMs)
     headers['content-type'] = call.contentType ?? 'application/octet-stream'
-    return await this.raw('POST', `/v1/requests/${call.service}`, headers, call.body)
+    return await this.sendRaw('POST', `/v1/requests/${call.service}`, headers, call.body)
   }
 
-  public async raw (
+  public async sendRaw (
     method: 'GET' | 'POST' | 'DELETE', path: string, headers: Record<string, string> = {}, body?: Uint8Array | string): Promise<IReply> {
     const startedAtMs = performance.now()
     const answer = await this._pool.request({ method, path, headers, ...(body === undefined ? {} : { body }) })
@@ -69,21 +69,21 @@
   }
 
   public async submitJob (job: IJobSpec): Promise<IReply> {
-    return await this.raw('POST', '/v1/jobs', { 'content-type': 'application/json' }, JSON.stringify(job))
+    return await this.sendRaw('POST', '/v1/jobs', { 'content-type': 'application/json' }, JSON.stringify(job))
   }
 
   /** The status of a job, or undefined if the answer is not 200, for example while the job's owner can't be reached. */
   public async jobStatus (jobId: string): Promise<IJobStatus | undefined> {
-    const reply = await this.raw('GET', `/v1/jobs/${jobId}`)
+    const reply = await this.sendRaw('GET', `/v1/jobs/${jobId}`)
     return reply.status === 200 ? JSON.parse(reply.body.toString()) as IJobStatus : undefined
   }
 
   public async cancelJob (jobId: string): Promise<IReply> {
-    return await this.raw('DELETE', `/v1/jobs/${jobId}`)
+    return await this.sendRaw('DELETE', `/v1/jobs/${jobId}`)
   }
 
   /** Polls the status of a job; resolves with the first one that satisfies `isReached`, or with the last one after `limitMs`. */
-  public async untilJob (jobId: string, isReached: (status: IJobStatus) => boolean, limitMs = 10_000): Promise<IJobStatus | undefined> {
+  public async waitForJob (jobId: string, isReached: (status: IJobStatus) => boolean, limitMs = 10_000): Promise<IJobStatus | undefined> {
     const untilMs = performance.now() + limitMs
     for (;;) {
       const status = await this.jobStatus(jobId)
--- a/test/support/Cell.ts
+++ b/test/support/Cell.ts
@@ -101,11 +101,11 @@
   }
 
   public gateways (): readonly ICellProcess[] {
-    return this.processes.filter((process) => process.role === 'gateway' && process.handle.running)
+    return this.processes.filter((process) => process.role === 'gateway' && process.handle.isRunning)
   }
 
   public schedulers (): readonly ICellProcess[] {
-    return this.processes.filter((process) => process.role === 'scheduler' && process.handle.running)
+    return this.processes.filter((process) => process.role === 'scheduler' && process.handle.isRunning)
   }
 
   /** Starts one gateway or scheduler and waits for its ready line. A process of this id that has ended is replaced. */
@@ -135,7 +135,7 @@
   }
 
   /** Waits until the first gateway of each region completes a request; this takes the configuration and an owner of the shard. */
-  public async untilServed (service = 'sector-sweep'): Promise<void> {
+  public async waitUntilServed (service = 'sector-sweep'): Promise<void> {
     const untilMs = performance.now() + READY_TIMEOUT_MS
     for (const region of this.options.regions) {
       const client = new CallerClient(this.gateways().find((gateway) => gateway.region === region)?.url ?? '', 1)
@@ -153,7 +153,7 @@
    * Waits until every rack is owned by a scheduler of its region. The first scheduler to start owns all racks and hands them
    * over one after the other.
    */
-  public async untilSpread (): Promise<void> {
+  public async waitUntilSpread (): Promise<void> {
     const untilMs = performance.now() + SPREAD_TIMEOUT_MS
     while (!await this._isSpread()) {
       if (performance.now() > untilMs) throw new Error(`some racks are not owned by a scheduler of their region after ${SPREAD_TIMEOUT_MS} ms`)
@@ -180,7 +180,7 @@
 
   /** Kills the processes that are still running and deletes the settings files. */
   public async dispose (): Promise<void> {
-    const running = [...this.processes.map((process) => process.handle), ...this._standIns].filter((handle) => handle.running)
+    const running = [...this.processes.map((process) => process.handle), ...this._standIns].filter((handle) => handle.isRunning)
     await Promise.all(running.map(async (handle) => await handle.kill()))
     await Promise.all([...this.forwarders.values()].map(async (forwarder) => { await forwarder.close() }))
     rmSync(this._folder, { recursive: true, force: true })
--- a/test/support/ControllerCell.ts
+++ b/test/support/ControllerCell.ts
@@ -59,7 +59,7 @@
 
   public async close (): Promise<void> {
     await Promise.all(this.controllers.map(async ({ process, store }) => {
-      if (process.running) await process.kill()
+      if (process.isRunning) await process.kill()
       await store.close()
     }))
     rmSync(this._folder, { recursive: true, force: true })
--- a/test/support/FakeWorkers.ts
+++ b/test/support/FakeWorkers.ts
@@ -32,9 +32,9 @@
    * `silent`: commands arrive, but their answers are lost. `cut`: commands don't arrive, and the sender can't tell. `refuses`:
    * connections are refused, so that the sender knows that nothing arrived.
    */
-  public reach: 'up' | 'silent' | 'cut' | 'refuses' = 'up'
+  public reachability: 'up' | 'silent' | 'cut' | 'refuses' = 'up'
   public isLeaving = false
-  public failsAll = false
+  public failsAllTasks = false
   public runs: IRun[] = []
   public sequence = 0
   public readonly epochs = new Map<string, number>()
@@ -85,7 +85,7 @@
     for (const run of this.runs.filter((each) => each.end === undefined)) {
       const ranMs = this._clock.nowMs() - run.startedAtMs
       if (run.leaseExpiresHostMs <= this.hostMs) this.endRun(run, 'leaseLapsed')
-      else if (this.failsAll) this.endRun(run, 'failed')
+      else if (this.failsAllTasks) this.endRun(run, 'failed')
       else if (ranMs >= (run.start.runMs ?? Infinity)) this.endRun(run, 'succeeded')
     }
   }
@@ -188,13 +188,13 @@
   private _command (host: IHostRecord, fence: IFence, act: (worker: FakeWorker) => IWorkerStatus | Promise<IWorkerStatus>): Answer {
     const worker = this.worker(host.hostId)
     const lostAnswer = new AmbiguousError('worker', host.hostId, 'no answer')
-    if (worker.reach === 'refuses') return errAsync(new UnreachableError('worker', host.hostId, 'refused'))
-    if (worker.reach === 'cut') return errAsync(lostAnswer)
+    if (worker.reachability === 'refuses') return errAsync(new UnreachableError('worker', host.hostId, 'refused'))
+    if (worker.reachability === 'cut') return errAsync(lostAnswer)
     const current = worker.epochs.get(fence.shardId) ?? 0
     if (fence.epoch < current) return errAsync(new FencedError('worker', host.hostId, current))
     worker.epochs.set(fence.shardId, fence.epoch)
     return ResultAsync.fromPromise(Promise.resolve(act(worker)).then((status) => {
-      if (worker.reach !== 'up') throw lostAnswer
+      if (worker.reachability !== 'up') throw lostAnswer
       return status
     }), () => lostAnswer)
   }
--- a/test/support/JobsCell.ts
+++ b/test/support/JobsCell.ts
@@ -66,13 +66,13 @@
   public readonly owned = new Map<string, number>()
   public readonly tasks: TaskService
   public readonly jobs: JobOwner
-  public readonly lost = new Emitter<IProcessIdentity>()
-  public readonly acquired = new Emitter<IOwnedShard>()
-  public readonly dropped = new Emitter<IOwnedShard>()
-  public readonly onLost = this.lost.event
+  public readonly peerLost = new Emitter<IProcessIdentity>()
+  public readonly shardAcquired = new Emitter<IOwnedShard>()
+  public readonly shardLost = new Emitter<IOwnedShard>()
+  public readonly onLost = this.peerLost.event
   public isAlive = true
   /** The task updates that this scheduler sends are lost, as on a link whose send queue is full. */
-  public losesNews = false
+  public losesUpdates = false
   /** The scheduler no longer has a reservation when it is asked to start it. */
   public losesReservations = false
   private readonly _engine: DecisionEngine
@@ -83,9 +83,9 @@
     this.self = { processId, incarnation: 1, region: REGION, failureDomain: `${REGION}-a` }
     this._engine = new DecisionEngine(clock, new SeededRandom(1))
     const shards = {
-      onAcquired: this.acquired.event,
-      onLost: this.dropped.event,
-      reportFenced: (shardId: string) => { this.lose(shardId) },
+      onAcquired: this.shardAcquired.event,
+      onLost: this.shardLost.event,
+      reportFenced: (shardId: string) => { this.loseShard(shardId) },
       confirm: async (shardId: string, epoch: number) => !_cell.isStoreDown && _cell.epochs.get(shardId) === epoch
     }
     const common = { peers: this, shards: _cell.shardView, config, idShardOf: () => ID_SHARD, clock, timers: clock, log: new SilentLogger() }
@@ -96,20 +96,20 @@
     this.jobs = new JobOwner({ ...common, jobLog: log, hosts: () => directory.hosts, taskChart, random: new SeededRandom(2) })
   }
 
-  public take (shardId: string, epoch: number): void {
+  public acquireShard (shardId: string, epoch: number): void {
     this.owned.set(shardId, epoch)
     this._cell.epochs.set(shardId, epoch)
     if (shardId === ID_SHARD) this.jobs.takeOver(shardId, epoch, this._cell.log.table.liveJobs())
-    else this.acquired.fire({ shardId, epoch })
+    else this.shardAcquired.fire({ shardId, epoch })
     this._cell.publishSummaries()
   }
 
-  public lose (shardId: string): void {
+  public loseShard (shardId: string): void {
     const epoch = this.owned.get(shardId)
     if (epoch === undefined) return
     this.owned.delete(shardId)
     if (shardId === ID_SHARD) this.jobs.drop(shardId)
-    else this.dropped.fire({ shardId, epoch })
+    else this.shardLost.fire({ shardId, epoch })
     this._cell.publishSummaries()
   }
 
@@ -120,7 +120,7 @@
     this.tasks.dispose()
     this._cell.publishSummaries()
     for (const other of this._cell.schedulers) {
-      if (other.isAlive) other.lost.fire(this.self)
+      if (other.isAlive) other.peerLost.fire(this.self)
     }
   }
 
@@ -161,7 +161,7 @@
 
   public cast (processId: string, _name: 'taskUpdate', cast: IPeerCasts['taskUpdate']): void {
     const to = this._cell.schedulers.find((scheduler) => scheduler.isAlive && scheduler.self.processId === processId)
-    if (to !== undefined && this.isAlive && !this.losesNews) queueMicrotask(() => { to.jobs.onTaskUpdate(cast, this.self.processId) })
+    if (to !== undefined && this.isAlive && !this.losesUpdates) queueMicrotask(() => { to.jobs.onTaskUpdate(cast, this.self.processId) })
   }
 
   private _handleCall (name: PeerCallName, ask: unknown): unknown {
@@ -201,8 +201,8 @@
     this._hosts = Array.from({ length: schedulers * hostsPerRack }, (_, index) => workerHost(`w${index}`, `r${Math.floor(index / hostsPerRack)}`, CAPACITY))
     for (const [index, host] of this._hosts.entries()) this.workers.add(host, index * CLOCK_OFFSET_STEP_MS)
     for (let index = 0; index < schedulers; index += 1) this.schedulers.push(new FakeScheduler(`s${index}`, this))
-    this.schedulers.forEach((scheduler, index) => { scheduler.take(`workers/r${index}`, 1) })
-    this.scheduler(0).take(ID_SHARD, 1)
+    this.schedulers.forEach((scheduler, index) => { scheduler.acquireShard(`workers/r${index}`, 1) })
+    this.scheduler(0).acquireShard(ID_SHARD, 1)
   }
 
   public scheduler (index: number): FakeScheduler {
@@ -252,7 +252,7 @@
 }
 
 /** Creates a job whose tasks all have the same size and run time. */
-export function jobOf (tasks: number, runMs: number | undefined, fields: Partial<IJobSpec> & { readonly cores?: number } = {}): IJobSpec {
+export function createJob (tasks: number, runMs: number | undefined, fields: Partial<IJobSpec> & { readonly cores?: number } = {}): IJobSpec {
   const { cores = 1, ...rest } = fields
   const resources = { cores, memoryBytes: 1, accelerators: 0 }
   const specs = Array.from({ length: tasks }, (_, index): ITaskSpec => ({ taskId: `t${index}`, resources, ...(runMs === undefined ? {} : { runMs }) }))
@@ -260,12 +260,12 @@
 }
 
 /** Asserts what must hold at any time: no task runs twice at once, and no host is used above its capacity. */
-export function checkAlways (t: ExecutionContext, cell: JobsCell): void {
+export function checkInvariants (t: ExecutionContext, cell: JobsCell): void {
   t.deepEqual(cell.workers.overlaps(), [])
   t.true(cell.workers.maxCoreShare() <= 1)
 }
 
-export async function startedJobs (schedulers: number, hostsPerRack: number): Promise<JobsCell> {
+export async function startJobsCell (schedulers: number, hostsPerRack: number): Promise<JobsCell> {
   const cell = new JobsCell(schedulers, hostsPerRack)
   await cell.advance(1200)
   return cell
--- a/test/support/MembershipCluster.ts
+++ b/test/support/MembershipCluster.ts
@@ -208,7 +208,7 @@
 }
 
 /** Starts `count` processes in `regions` regions, all of which know one another as if from the store. */
-export function startedCluster (count: number, regions: number, seed: number, observeCast?: CastObserver): MembershipCluster {
+export function startCluster (count: number, regions: number, seed: number, observeCast?: CastObserver): MembershipCluster {
   const cluster = new MembershipCluster(seed, {}, observeCast)
   const names = Array.from({ length: count }, (_, index) => ({ id: `p${index}`, region: `r${index % regions}` }))
   for (const { id, region } of names) cluster.start(id, region)
--- a/test/support/MemoryStore.ts
+++ b/test/support/MemoryStore.ts
@@ -63,12 +63,12 @@
   }
 
   /** Holds back every answer until the answers are released, as a store that hangs does. */
-  public hold (): void {
+  public holdAnswers (): void {
     this._heldAnswers ??= []
   }
 
   /** Releases the answers that were held back; later calls are answered at once. */
-  public letGo (): void {
+  public releaseAnswers (): void {
     const held = this._heldAnswers ?? []
     this._heldAnswers = undefined
     for (const release of held) release()
@@ -128,13 +128,13 @@
 
   public revokeLease (leaseId: string): ResultAsync<void, StoreError> {
     return this._answer('store.revokeLease', () => {
-      this.lapse(leaseId)
+      this.expireLease(leaseId)
       return okAsync(undefined)
     })
   }
 
   /** Expires a lease and deletes its keys. */
-  public lapse (leaseId: string): void {
+  public expireLease (leaseId: string): void {
     this._leases.get(leaseId)?.timer.dispose()
     this._leases.delete(leaseId)
     for (const [key, stored] of [...this._records]) {
@@ -164,7 +164,7 @@
   }
 
   private _scheduleExpiry (leaseId: string, ttlMs: number): IDisposable {
-    return this._timers?.after(ttlMs, () => { this.lapse(leaseId) }) ?? { dispose: () => {} }
+    return this._timers?.after(ttlMs, () => { this.expireLease(leaseId) }) ?? { dispose: () => {} }
   }
 
   private _read (key: string): IStoreRecord | undefined {
--- a/test/support/Processes.ts
+++ b/test/support/Processes.ts
@@ -40,7 +40,7 @@
     return this._child.pid ?? -1
   }
 
-  public get running (): boolean {
+  public get isRunning (): boolean {
     return this._child.exitCode === null && this._child.signalCode === null
   }
 
--- a/test/support/SimulatedCell.ts
+++ b/test/support/SimulatedCell.ts
@@ -42,7 +42,7 @@
   /** The time that the advice service takes for a call; zero by default. */
   adviceMs? (request: IAdviceRequest): number
   /** The delay between the decision of the advice service and the arrival of its answer. */
-  readonly adviceLateMs?: number
+  readonly adviceReplyDelayMs?: number
   /** The time for which the hosts accept a ticket; unlimited by default. */
   readonly ticketValidMs?: number
 }
@@ -51,11 +51,11 @@
   public readonly clock = new ManualClock()
   public readonly hosts: SimulatedHost[]
   /** The largest number of runs of one task that were seen at the same time. */
-  public mostRunsOfOneTask = 0
+  public maxRunsOfOneTask = 0
   /** The largest use of a host above its capacity that was seen, in millicores. */
-  public mostOverCapacity = 0
+  public maxOverCapacity = 0
   /** The number of starts that were refused because their ticket had expired. */
-  public staleTickets = 0
+  public staleTicketCount = 0
   public scheduler: CellScheduler
   /** While this is set, no save completes. */
   public isStoreDown = false
@@ -155,14 +155,14 @@
     const takesMs = this._options.adviceMs?.(request) ?? 0
     if (takesMs > 0) await new Promise<void>((resolve) => { this.clock.after(takesMs, resolve) })
     const outcome = this._advise(request)
-    const lateMs = this._options.adviceLateMs ?? 0
+    const lateMs = this._options.adviceReplyDelayMs ?? 0
     if (lateMs > 0) await new Promise<void>((resolve) => { this.clock.after(lateMs, resolve) })
     return outcome
   }
 
   private _isTicketStale (ticket: string): boolean {
     const isStale = ticket !== '' && this.clock.nowMs() - Number(ticket) > (this._options.ticketValidMs ?? Infinity)
-    if (isStale) this.staleTickets += 1
+    if (isStale) this.staleTicketCount += 1
     return isStale
   }
 
@@ -217,9 +217,9 @@
         runs.set(taskKey(run.ref), (runs.get(taskKey(run.ref)) ?? 0) + 1)
         used += this.scheduler.jobs.get(run.ref.jobId)?.steps[run.ref.step]?.spec.cpuMillicores ?? 0
       }
-      this.mostOverCapacity = Math.max(this.mostOverCapacity, used - host.options.cpuMillicores)
+      this.maxOverCapacity = Math.max(this.maxOverCapacity, used - host.options.cpuMillicores)
     }
-    this.mostRunsOfOneTask = Math.max(this.mostRunsOfOneTask, ...runs.values())
+    this.maxRunsOfOneTask = Math.max(this.maxRunsOfOneTask, ...runs.values())
   }
 
   private _hostOf (hostId: string): SimulatedHost {
--- a/test/support/SimulatedHost.ts
+++ b/test/support/SimulatedHost.ts
@@ -29,7 +29,7 @@
   public readonly running = new Map<string, ISimulatedRun>()
   public readonly started: IRunRef[] = []
   /** The number of stop orders that the host has accepted. */
-  public stops = 0
+  public stopCount = 0
   /** The highest run number of each task that must not start any more, by task. */
   private readonly _lastBarredRuns = new Map<string, number>()
   private _ended: IEndRow[] = []
@@ -83,7 +83,7 @@
   }
 
   /** Carries out the start orders that got no answer. */
-  public carryOutLate (): readonly StartOutcome[] {
+  public executeLateStarts (): readonly StartOutcome[] {
     return this._lateStarts.splice(0).map((order) => this._executeStart(order))
   }
 
@@ -91,7 +91,7 @@
     if (this.isSilent) return 'unanswered'
     if (fence < this._fence) return 'fenced'
     this._fence = fence
-    this.stops += 1
+    this.stopCount += 1
     this._barUpTo(ref)
     if (this.running.has(taskKey(ref))) this._endRun(ref, 'stopped')
     return 'stopped'
