--- a/src/common/cell/AdviceDispatcher.ts
+++ b/src/common/cell/AdviceDispatcher.ts
@@ -13,7 +13,7 @@
 export interface IAdviceCall extends IAdviceRequest {
   readonly priority: number
   readonly dueMs: number
-  /** How long the service needs for it, in ms. */
+  /** How long the service needs for the call, in ms. */
   readonly expectedMs: number
   /** Whether the answer is still needed; checked when the call is about to be sent. */
   isWanted (): boolean
@@ -24,7 +24,7 @@
 /** A machine that can call the service now. */
 export interface IAdviceMachine {
   readonly name: string
-  /** Whether it is in the region of the owner. */
+  /** Whether the machine is in the region of the owner. */
   readonly isNear: boolean
 }
 
--- a/src/common/cell/AdviceHosts.ts
+++ b/src/common/cell/AdviceHosts.ts
@@ -13,7 +13,7 @@
 
 /** The maximum number of hosts named for a step that is not a gang: as many as the service accepts in one call. */
 const MAX_HOSTS = 100
-/** The minimum number of hosts named: fewer save little time, and leave no choice to a step that most of them refuse. */
+/** The minimum number of hosts named: naming fewer saves little time, and few of them may be allowed for the step. */
 const MIN_HOSTS = 40
 /** The number of places asked for, as a multiple of those needed: others take capacity between the call and the placement. */
 const SPARE_FACTOR = 2
--- a/src/common/cell/Attempt.ts
+++ b/src/common/cell/Attempt.ts
@@ -4,7 +4,7 @@
  *
  * - `preparing`: resources are allocated, but the run is not recorded in the store yet, or its ticket is missing. No order was
  *   sent.
- * - `ordered`: the start order is on its way.
+ * - `ordered`: the start order was sent and has no answer yet.
  * - `unsure`: the start order had no answer; the host may carry it out until its deadline on the host's clock.
  * - `recovering`: an earlier owner recorded the run; the host hasn't reported yet whether it runs.
  * - `running`: the host has the run.
--- a/src/common/cell/CapacityReservations.ts
+++ b/src/common/cell/CapacityReservations.ts
@@ -3,7 +3,7 @@
  *
  * Without it, capacity that becomes free in small pieces is taken by narrow tasks immediately, and gangs never start in a cell
  * that is four fifths full. So waiting gangs reserve capacity on the hosts where it will become free soonest, and work behind
- * them can't use it. Reserved capacity stands idle, so its amount is limited. Capacity reserved for a gang that can no longer
+ * them can't use it. Reserved capacity is idle, so its amount is limited. Capacity reserved for a gang that can no longer
  * meet its objective is available to work that still can and has waited for long: otherwise all work behind such a gang would be
  * late, too.
  */
@@ -82,9 +82,9 @@
  * would leave these hosts idle for ever, with work waiting beside them.
  */
 export function fitsWhenEmpty (step: Step, hosts: Iterable<HostState>): boolean {
-  let room = 0
-  for (const host of hosts) room += host.capacityFor(step.spec)
-  return room >= step.spec.count
+  let places = 0
+  for (const host of hosts) places += host.capacityFor(step.spec)
+  return places >= step.spec.count
 }
 
 /** The places that become free soonest: as many as the gang needs, or all within the horizon. */
--- a/src/common/cell/CellScheduler.test.ts
+++ b/src/common/cell/CellScheduler.test.ts
@@ -18,8 +18,8 @@
 })
 
 test('completion is reported only once it is stored', async (t) => {
-  // The store is unreachable while the last task runs. If completion were reported from memory, a caller would be told
-  // "completed", and "running" for the same job after the owner's death.
+  // The store is unreachable while the last task runs. If completion were reported from memory, a caller would get the state
+  // "completed", and after a change of owner the state "running" for the same job.
   const cell = new SimulatedCell({ hosts: 1 })
   const job = cell.submit([{}])
   await cell.run(500)
@@ -147,7 +147,7 @@
 })
 
 test('a job fails after as many failed runs as its queue allows, and no run is started after that', async (t) => {
-  // The job can't succeed. Its caller is told so, and no further runs occupy hosts.
+  // The job can't succeed. Its state must say so to the caller, and no further runs may occupy hosts.
   const cell = new SimulatedCell({ hosts: 3, host: { endOf: () => 'failed' } })
   const job = cell.submit([{}], { maxAttempts: 3 })
   await cell.run(15_000)
--- a/src/common/cell/CellScheduler.ts
+++ b/src/common/cell/CellScheduler.ts
@@ -1,6 +1,6 @@
 /**
  * Makes the owner's scheduling decisions: which jobs are admitted, which tasks start next and where, and which runs are stopped.
- * It does no input or output itself: it acts through the effects that it is given.
+ * It performs no I/O itself: it acts through the effects that are passed to it.
  */
 
 import type { ILogger } from '../observability/Types.js'
@@ -273,10 +273,10 @@
       advice.findTicket(attempt.host.hostId, attempt.host.bornMs, atMs) === undefined
     if (!waiting.some((attempt) => isMissing(attempt, this._clock.nowMs()))) return
     // A gang needs all its tickets at once, so tickets that would expire during the call are renewed with the missing ones.
-    const goodAtMs = this._clock.nowMs() + (step.spec.gang ? expectedAdviceMs(step, waiting.length) : 0)
-    const asked = waiting.filter((attempt) => isMissing(attempt, goodAtMs))
-    this._advice.ask(step, [...new Set(asked.map((attempt) => attempt.host.hostId))], () => {
-      this._runController.drop(asked.filter((attempt) => isMissing(attempt, this._clock.nowMs())))
+    const validAtMs = this._clock.nowMs() + (step.spec.gang ? expectedAdviceMs(step, waiting.length) : 0)
+    const requested = waiting.filter((attempt) => isMissing(attempt, validAtMs))
+    this._advice.ask(step, [...new Set(requested.map((attempt) => attempt.host.hostId))], () => {
+      this._runController.drop(requested.filter((attempt) => isMissing(attempt, this._clock.nowMs())))
       this._runController.orderReady(step)
     })
   }
--- a/src/common/cell/HoldAnswerHandler.ts
+++ b/src/common/cell/HoldAnswerHandler.ts
@@ -47,7 +47,7 @@
   /**
    * Handles a restart of the host under the same id: its earlier runs are gone.
    *
-   * A start order that was never answered may still be on its way. The new incarnation knows neither the run nor the fence and
+   * A start order that was never answered may still be in flight. The new incarnation knows neither the run nor the fence and
    * would carry the order out, and the task would run there and elsewhere. So each such run is stopped on the new incarnation
    * before its task is free.
    */
--- a/src/common/cell/HostForecast.ts
+++ b/src/common/cell/HostForecast.ts
@@ -24,14 +24,14 @@
 ): readonly number[] {
   const most = host.capacityFor(step)
   const times: number[] = []
-  let room = addResources(host.free, keepFree, -1)
+  let free = addResources(host.free, keepFree, -1)
   const addTimes = (waitMs: number): void => {
-    for (let places = Math.min(most, countPlaces(room, step)); times.length < places;) times.push(waitMs)
+    for (let places = Math.min(most, countPlaces(free, step)); times.length < places;) times.push(waitMs)
   }
   addTimes(0)
   if (times.length === most) return times
   for (const { attempt, remainingMs } of endsWithin(host, nowMs, horizonMs)) {
-    room = addResources(room, resourcesOf(attempt.task.step.spec))
+    free = addResources(free, resourcesOf(attempt.task.step.spec))
     addTimes(remainingMs)
   }
   return times
--- a/src/common/cell/HostSpeeds.test.ts
+++ b/src/common/cell/HostSpeeds.test.ts
@@ -41,7 +41,7 @@
 })
 
 test('estimates that are wrong everywhere exclude no host', async (t) => {
-  // Callers estimate a fifth of the real run time. If all hosts counted as slow, the whole cell would stand idle.
+  // Callers estimate a fifth of the real run time. If all hosts counted as slow, no host would get work.
   const cell = new SimulatedCell({ hosts: 6 })
   const jobs = await load(cell, 6000, 200)
   await cell.run(1500)
--- a/src/common/cell/HostState.ts
+++ b/src/common/cell/HostState.ts
@@ -13,7 +13,7 @@
 const MIN_CLOCK_RATE = 0.98
 /** Added to the time at which leases have ended, in ms: killing a run whose lease has ended takes a moment. */
 const LAPSE_MARGIN_MS = 300
-/** A host that has not answered for this long, in ms, gets no new work. A hold is answered within 1.5 s. */
+/** A host that has not answered for this long, in ms, gets no new work. A poll is answered within 1.5 s. */
 const CONTACT_FRESH_MS = 2500
 /** The leases of a host that has not answered for this long, in ms, are no longer extended: a poll takes a second and a round trip. */
 const HOLD_CONTACT_MS = 1800
@@ -144,7 +144,7 @@
     return !this.hasClock || this.minClockMs(nowMs) > this._maxDeadlineMs + LAPSE_MARGIN_MS
   }
 
-  /** Resets what is known of a host that has restarted: it has forgotten its runs, its clock and its sequence numbers start again. */
+  /** Resets what is known of a host that has restarted: its runs are gone, and its clock and its sequence numbers start again. */
   public resetAfterRestart (bornMs: EpochMs): void {
     this.bornMs = bornMs
     this.appliedSequence = 0
@@ -170,7 +170,7 @@
   }
 
   /**
-   * Counts a failed run, and gives a host that fails every task no work for a while.
+   * Counts a failed run, and excludes a host that fails every task from new work for a while.
    *
    * Such a host ends its tasks at once, so it always has the most free resources and would attract all work: jobs would fail for
    * good although nothing is wrong with them. Failures count only if they belong to different jobs, since a job that can't
--- a/src/common/cell/Job.ts
+++ b/src/common/cell/Job.ts
@@ -63,7 +63,7 @@
     this.doneCount += 1
   }
 
-  /** Marks the whole gang as done: its members end together, so one member that is done stands for all. */
+  /** Marks the whole gang as done: its members end together, so if one of them is done, all are. */
   public markGangDone (): void {
     for (const task of this.tasks) this.markDone(task)
   }
@@ -75,7 +75,7 @@
 export class Job {
   public acceptance: Acceptance = 'pending'
   public readonly steps: readonly Step[]
-  /** The decided phase and the stored one. Callers are told the stored phase only. */
+  /** The decided phase and the stored one. Only the stored phase is reported to callers. */
   public phase: JobPhase = 'queued'
   public storedPhase: JobPhase = 'queued'
   /** Whether a host has started one of its tasks. */
@@ -96,7 +96,7 @@
     return this.phase === 'completed' || this.phase === 'failed' || this.phase === 'cancelled'
   }
 
-  /** The phase that callers may be told. */
+  /** The phase to report to callers. */
   public get reportedPhase (): JobPhase {
     if (this.storedPhase !== 'queued') return this.storedPhase
     return this.hasStarted ? 'running' : 'queued'
--- a/src/common/cell/JobRecord.ts
+++ b/src/common/cell/JobRecord.ts
@@ -27,7 +27,7 @@
   fills: false
 }
 
-/** Stands in for the queue of a finished job, which is no longer needed. */
+/** Replaces the queue of a finished job, which is no longer needed. */
 const NO_QUEUE: QueueTerms = { name: '', service: '', priority: 0, maxAttempts: 0, stretch: 0, targetMs: 0, advice: undefined }
 
 interface IAcceptedRecord {
--- a/src/common/cell/Placement.ts
+++ b/src/common/cell/Placement.ts
@@ -39,7 +39,7 @@
 
 /**
  * The resources that a step has to leave free for urgent work. Gangs are exempt, and the headroom shrinks for a task that needs
- * nearly a whole host: otherwise they might never fit, however empty the cell is.
+ * nearly all of a host: otherwise such work might never fit, however empty the cell is.
  */
 export function urgentHeadroom (host: HostState, step: Step): IResources {
   if (step.job.queue.priority === URGENT_PRIORITY || step.spec.gang) return NO_RESOURCES
--- a/src/common/cell/Resources.ts
+++ b/src/common/cell/Resources.ts
@@ -12,12 +12,12 @@
 
 export const NO_RESOURCES: IResources = { cpuMillicores: 0, memoryMb: 0, accelerators: 0 }
 
-/** How many tasks of the step fit into the resources, at most as many as the step has. */
-export function countPlaces (room: IResources, step: IStepSpec): number {
+/** How many tasks of the step fit into the free resources, at most as many as the step has. */
+export function countPlaces (free: IResources, step: IStepSpec): number {
   const { cpuMillicores, memoryMb, accelerators } = resourcesOf(step)
-  const byCpu = cpuMillicores === 0 ? Infinity : room.cpuMillicores / cpuMillicores
-  const byMemory = memoryMb === 0 ? Infinity : room.memoryMb / memoryMb
-  const byAccelerators = accelerators === 0 ? Infinity : room.accelerators / accelerators
+  const byCpu = cpuMillicores === 0 ? Infinity : free.cpuMillicores / cpuMillicores
+  const byMemory = memoryMb === 0 ? Infinity : free.memoryMb / memoryMb
+  const byAccelerators = accelerators === 0 ? Infinity : free.accelerators / accelerators
   return Math.max(0, Math.floor(Math.min(byCpu, byMemory, byAccelerators, step.count)))
 }
 
--- a/src/common/cell/RunController.ts
+++ b/src/common/cell/RunController.ts
@@ -18,7 +18,7 @@
   save (job: Job): Promise<void>
   start (host: IHostEntry, order: Omit<IStartOrder, 'fence'>): Promise<StartOutcome>
   stop (host: IHostEntry, ref: IRunRef): Promise<StopOutcome>
-  /** Called when a host accepts orders of a newer owner only. */
+  /** Called when a host accepts only orders of a newer owner. */
   onFenced (hostId: string): void
   /** Called when recorded runs of the step have no valid ticket. */
   requestTickets (step: Step): void
--- a/src/common/cell/Types.ts
+++ b/src/common/cell/Types.ts
@@ -111,7 +111,7 @@
 
 /**
  * The result of a start order. `refused` and `unsent`: the run did not start and never will. `unanswered`: it may start now or
- * later, until its deadline. `fenced`: a newer owner gives orders to that host.
+ * later, until its deadline. `fenced`: that host accepts only orders of a newer owner.
  */
 export type StartOutcome =
   | { readonly kind: 'started', readonly clockMs: number }
@@ -149,7 +149,7 @@
   readonly waitMs: number
 }
 
-/** Everything that a host runs, and the ends that it hasn't been told to forget. */
+/** Everything that a host runs, and the ends that the owner hasn't acknowledged. */
 export interface IHoldAnswer {
   readonly clockMs: number
   readonly bornMs: EpochMs
@@ -257,7 +257,7 @@
 
 /**
  * The result of a submission. `accepted` is returned only once the submission is stored, `refused` only if it isn't and never
- * will be. `inDoubt`: nobody can tell yet.
+ * will be. `inDoubt`: it is not known yet whether the submission is stored.
  */
 export type SubmitOutcome =
   | { readonly kind: 'accepted' }
