--- a/src/cell/CellOwner.ts
+++ b/src/cell/CellOwner.ts
@@ -235,7 +235,7 @@
     return { kind: 'refused', reason, retryAfterMs }
   }
 
-  /** Refuses the job and tells the gateway to look for an owner that reaches the store. */
+  /** Refuses the job, and lets the gateway find an owner that reaches the store. */
   private _refuseWithoutStore (jobId: string, reason: string): SubmitOutcome {
     return { ...this._refuse(jobId, reason, RETRY_AFTER_MS), isStoreAway: true }
   }
--- a/src/cell/ConfigFeed.ts
+++ b/src/cell/ConfigFeed.ts
@@ -52,7 +52,7 @@
     return this._watch.ageMs
   }
 
-  /** Whether a version that this process doesn't have can only be very new. If not, this process can't tell that a queue does not exist. */
+  /** Whether this process has every version except very new ones. Only then is a queue that it doesn't find certain not to exist. */
   public get isCurrent (): boolean {
     return this._watch.isCurrent
   }
--- a/src/cell/HostSessions.ts
+++ b/src/cell/HostSessions.ts
@@ -20,7 +20,7 @@
   readonly log: ILogger
   /** Until when the owner may hold leases on hosts, by the monotonic clock. */
   holdUntilMs (): MonotonicMs
-  /** The host only accepts orders of a newer owner. */
+  /** The host accepts only orders of a newer owner. */
   onFenced (hostId: string): void
   requestPass (): void
 }
--- a/src/cell/OwnerRoute.ts
+++ b/src/cell/OwnerRoute.ts
@@ -54,7 +54,7 @@
  * doubt would be told that the outcome is unknown, although the new owner knows it.
  */
 const NEW_OWNER_MS = 1000
-/** An owner tries the store for 400 ms; the rest is for two round trips between regions. */
+/** Timeout for asking an owner whether it reaches the store, in ms: the owner tries for 400 ms, the rest is for two round trips between regions. */
 const REACH_TIMEOUT_MS = 500
 /** Timeout of a request that the owner answers from memory or with one write, in ms. */
 const ASK_TIMEOUT_MS = 1500
--- a/src/cell/Ownership.ts
+++ b/src/cell/Ownership.ts
@@ -261,7 +261,7 @@
     this._clock.after(this._options.yieldMs(), () => { this.takeOver(record) })
   }
 
-  /** Takes up an ownership that an earlier attempt acquired, although the answer to that attempt was lost. */
+  /** Adopts an ownership that an earlier attempt acquired, although the answer to that attempt was lost. */
   private _adoptRecord (record: IOwnerRecord): void {
     if (this._leaseId !== undefined && !this._isStopping) this._startOwnership(record.revision, this._clock.nowMs())
   }
--- a/src/cell/StoreLossHandover.ts
+++ b/src/cell/StoreLossHandover.ts
@@ -22,7 +22,7 @@
 const CHECK_INTERVAL_MS = 50
 /** How long a confirmation may take, in ms. One that isn't answered within 100 ms is requested once more. */
 const CONFIRMATION_LIMIT = { minMs: 150, initialMs: 150 }
-/** Peers try the store for 400 ms; the rest is for two round trips between regions. */
+/** Timeout for a peer's offer, in ms: a peer tries the store for 400 ms, the rest is for two round trips between regions. */
 const OFFER_TIMEOUT_MS = 500
 /** After the first offer of a peer that reaches the store, other peers have this long to answer, in ms, and so has the store to answer the owner. */
 const MORE_OFFERS_MS = 100
