--- a/src/common/policy/AcceleratorReserve.ts
+++ b/src/common/policy/AcceleratorReserve.ts
@@ -4,7 +4,7 @@
 
 import type { IClock, MonotonicMs } from '../Types.js'
 
-/** Longer than the gaps in a steady stream of accelerator work; without such work, a cell loses the reserved capacity for no longer than this. */
+/** How long the reserve lasts after an arrival: longer than the gaps in a steady stream of accelerator work. Then all work may use the capacity. */
 const RESERVE_MS = 30_000
 
 export class AcceleratorReserve {
--- a/src/common/policy/Feasibility.ts
+++ b/src/common/policy/Feasibility.ts
@@ -26,7 +26,7 @@
 
 export interface IFeasibilityCheck {
   readonly couldHold: (need: IResources) => boolean
-  /** Whether the hosts could hold all of them at once. */
+  /** Whether the hosts could hold all needs at once. */
   readonly couldHoldAll: (needs: readonly IResources[]) => boolean
 }
 
--- a/src/common/policy/GroupStore.ts
+++ b/src/common/policy/GroupStore.ts
@@ -103,7 +103,7 @@
     return true
   }
 
-  /** Releases all holds on a host that was removed or accepts no new work; their groups look for capacity elsewhere. */
+  /** Releases all holds on a host that was removed or accepts no new work; their groups then need capacity elsewhere. */
   public releaseHost (host: LedgerHost): void {
     for (const group of this._groupsWithHolds) {
       for (const hold of group.holds.values()) {
--- a/src/common/policy/HostGrid.ts
+++ b/src/common/policy/HostGrid.ts
@@ -1,6 +1,6 @@
 /**
  * Indexes hosts by free cores and free memory on a logarithmic grid with a bit mask per row and column. Finding the
- * tightest host with enough free capacity reads a few words instead of every host.
+ * tightest host with enough free capacity reads a few masks instead of every host.
  */
 
 import { dominantShare, fits } from './Resources.js'
@@ -30,9 +30,9 @@
 
 /** Which of the hosts with enough free capacity to prefer. */
 export type GridOrder =
-  /** The one with the least free capacity: keeps large gaps whole. */
+  /** The host with the least free capacity, so that large amounts of free capacity stay together. */
   | 'tightest'
-  /** The one with the most free capacity, which has the fewest requests in flight. */
+  /** The host with the most free capacity, which has the fewest requests in flight. */
   | 'freest'
 
 export type HostFilter = (host: LedgerHost) => boolean
--- a/src/common/policy/HostHealth.ts
+++ b/src/common/policy/HostHealth.ts
@@ -17,7 +17,7 @@
 /** A host with a failure rate below this stays in use, whatever the rate of its peers. */
 const MIN_FAILURE_RATE = 0.3
 
-/** The half-life of the counts: a host is judged by about the last half minute. */
+/** The half-life of the counts, which cover about the last half minute. */
 const HALF_LIFE_MS = 10_000
 
 /**
--- a/src/common/policy/ProfileQueue.ts
+++ b/src/common/policy/ProfileQueue.ts
@@ -70,7 +70,7 @@
    * Removes an entry from any position in logarithmic time.
    *
    * In a wave of cancellations, marking entries and skipping them later would leave tens of thousands of them to a
-   * single placement, which would cause a pause. Here each cancellation bears its own cost.
+   * single placement, which would cause a pause. Here each cancellation removes its own entry.
    */
   public remove (entry: IQueueEntry): void {
     const { callerQueue } = entry
--- a/src/common/policy/ShiftPolicy.ts
+++ b/src/common/policy/ShiftPolicy.ts
@@ -67,7 +67,7 @@
   /**
    * Returns the scheduler to move the item to, if any.
    *
-   * Load may be skewed over schedulers whose summaries are a second old. If all moved work to the one that looked best,
+   * Load may be skewed over schedulers whose summaries are a second old. If all moved work to the one that seemed best,
    * they would flood it and then move the work back: waits would oscillate and traffic would rise. So a move needs a
    * clear gain, each item moves once, two candidates are drawn at random and the better one is chosen, and work moved
    * since the last summary counts against it. A move to another region needs the permission of the profile and the gain
