--- a/src/common/policy/CapacityForecast.ts
+++ b/src/common/policy/CapacityForecast.ts
@@ -14,7 +14,7 @@
 const MIN_TURNOVER_PER_MS = 1e-9
 
 export class CapacityForecast {
-  /** @param _turnoverPerMs the share of the capacity in use that comes free per millisecond */
+  /** @param _turnoverPerMs the share of the capacity in use that becomes free per millisecond */
   public constructor (private readonly _ledger: CapacityLedger, private readonly _turnoverPerMs: () => number) {}
 
   /** The time until the host's free capacity covers its holds, in milliseconds. */
@@ -32,7 +32,7 @@
     return this._timeToFreeMs(lacking, this._ledger.shareOf(this._ledger.used))
   }
 
-  /** The time until the lacking share comes free. Work that ends at a constant rate decays exponentially. */
+  /** The time until the lacking share becomes free. Work that ends at a constant rate decays exponentially. */
   private _timeToFreeMs (lacking: number, used: number): number {
     if (lacking <= 0 || used <= 0) return 0
     const leftShare = Math.max(1 - lacking / used, MIN_LEFT_SHARE)
--- a/src/common/policy/DecisionEngine.test.ts
+++ b/src/common/policy/DecisionEngine.test.ts
@@ -126,7 +126,7 @@
 
 /*
  * All slots are used by patient work that runs for minutes when an urgent request arrives. Without preemption no slot
- * would come free before the urgent deadline.
+ * would become free before the urgent deadline.
  */
 test('urgent work preempts patient work down to its floor', (t) => {
   const { clock, engine } = createEngine('slots', host('h1', cores(4)))
--- a/src/common/policy/DecisionLoop.ts
+++ b/src/common/policy/DecisionLoop.ts
@@ -53,7 +53,7 @@
 
 export class DecisionLoop {
   private readonly _ready: EngineDecision[] = []
-  /** Shapes and teams for which no capacity was found since capacity last came free. */
+  /** Shapes and teams for which no capacity was found since capacity last became free. */
   private readonly _blockedShapes = new Set<string>()
   private readonly _blockedTeams = new Set<string>()
   private readonly _preemptionPlanner: PreemptionPlanner
@@ -90,7 +90,7 @@
     this.onWorkAdded()
   }
 
-  /** Capacity may have come free: work that found none is tried again. */
+  /** Capacity may have become free: work that found none is tried again. */
   public onCapacityFreed (): void {
     this._blockedShapes.clear()
     this._blockedTeams.clear()
--- a/src/common/policy/FairQueue.ts
+++ b/src/common/policy/FairQueue.ts
@@ -94,7 +94,7 @@
    *
    * A profile below its floor goes first, whatever its class. By class alone, patient work would wait for as long as a
    * flood of urgent work lasts. Among profiles above their floors the class decides, so that urgent work waits at most
-   * until the next place comes free.
+   * until the next place becomes free.
    */
   public peek (isBlocked: LaneFilter): IQueueEntry | undefined {
     return this._peekBelowFloor(isBlocked) ?? this._peekByClass(isBlocked)
--- a/src/common/policy/GiveUpFinder.ts
+++ b/src/common/policy/GiveUpFinder.ts
@@ -15,7 +15,7 @@
 export interface IGivenUp {
   readonly items: readonly IWorkItem[]
   readonly reason: OutcomeReason
-  /** Whether capacity that was held for the items has come free. */
+  /** Whether capacity that was held for the items has become free. */
   readonly hasFreedCapacity: boolean
 }
 
--- a/src/common/policy/GroupPlacer.ts
+++ b/src/common/policy/GroupPlacer.ts
@@ -18,7 +18,7 @@
 /** How long a group waits for enough free capacity before hosts are drained for it, since draining leaves capacity idle. */
 const GATHER_AFTER_MS = 1_000
 
-/** Gathering that takes longer than this stops in favour of the next group, since the capacity may never come free. */
+/** Gathering that takes longer than this stops in favour of the next group, since the capacity may never become free. */
 const MAX_GATHER_MS = 600_000
 
 /** How long other work may be kept from all hosts. Where run times are longer, selected hosts are drained instead. */
@@ -65,7 +65,7 @@
   /**
    * Whether all hosts are closed to other work so that capacity is gathered for a job.
    *
-   * For large jobs among tasks that run for seconds, this keeps the idle time shortest: capacity that comes free on any
+   * For large jobs among tasks that run for seconds, this keeps the idle time shortest: capacity that becomes free on any
    * host counts towards the job. Draining a few selected hosts takes longer, since the last of them to finish decides.
    */
   public areHostsClosed (nowMs: MonotonicMs): boolean {
@@ -73,7 +73,7 @@
     return sinceMs !== undefined && nowMs - sinceMs < MAX_CLOSED_MS
   }
 
-  /** When the next time limit of a group expires, even if no capacity comes free before. */
+  /** When the next time limit of a group expires, even if no capacity becomes free before. */
   public nextWakeAtMs (nowMs: MonotonicMs): MonotonicMs {
     let wakeAtMs = this._groupStore.earliestExpiryMs
     if (this._groupStore.groupCount > 0 && this._nextGatherAtMs > nowMs) wakeAtMs = Math.min(wakeAtMs, this._nextGatherAtMs)
@@ -89,7 +89,7 @@
    * Advances the groups and returns one that can start by itself now.
    *
    * Without gathering, a job of many tasks would starve in a stream of small tasks, because the capacity for all its
-   * tasks is never free at the same moment. So capacity is held for it as it comes free. Only one group at a time has
+   * tasks is never free at the same moment. So capacity is held for it as it becomes free. Only one group at a time has
    * incomplete holds: two such groups could each hold half of the capacity and wait for the other for ever, on idle
    * hosts. A group with complete holds waits for running work only, so its wait is bounded by run times, and the next
    * group may gather meanwhile.
@@ -194,7 +194,7 @@
   }
 
   /**
-   * Moves holds from hosts that are still draining to capacity that has come free elsewhere.
+   * Moves holds from hosts that are still draining to capacity that has become free elsewhere.
    *
    * Run times have a long tail: if one of sixteen hosts runs a task for another minute, the fifteen drained hosts would
    * be idle until then.
--- a/src/common/policy/RunningWork.ts
+++ b/src/common/policy/RunningWork.ts
@@ -80,7 +80,7 @@
     return { item: running.item, hasFreedCapacity: !fits(before, running.counted) }
   }
 
-  /** The share of the capacity in use that comes free per millisecond. */
+  /** The share of the capacity in use that becomes free per millisecond. */
   public turnoverPerMs (): number {
     const inUse = this._ledger.shareOf(this._ledger.used)
     return inUse <= 0 ? Infinity : this._releaseRate.perMs(0, this._clock.nowMs()) / inUse
--- a/src/common/policy/VictimSelector.ts
+++ b/src/common/policy/VictimSelector.ts
@@ -9,7 +9,7 @@
 import type { IRunningItem, LedgerHost } from './CapacityLedger.js'
 import type { IWorkItem } from './Types.js'
 
-/** Urgent work waits this long for capacity to come free before others are stopped, since a stop discards the work done. */
+/** Urgent work waits this long for capacity to become free before others are stopped, since a stop discards the work done. */
 export const PREEMPT_AFTER_MS = 100
 
 /** The most hosts compared to find the cheapest stop. */
@@ -40,7 +40,7 @@
   /**
    * Returns the items to stop for `item`, all on one host, or none.
    *
-   * When hosts are filled with long patient tasks, nothing may come free within the deadline of an urgent item. Of the
+   * When hosts are filled with long patient tasks, nothing may become free within the deadline of an urgent item. Of the
    * hosts compared, the one that loses the least run time is chosen, and on a host the youngest items first. No profile
    * is brought below its floor; otherwise a stream of urgent work would starve it by preemption.
    */
