--- a/src/scheduler/hosts/HostDirectory.ts
+++ b/src/scheduler/hosts/HostDirectory.ts
@@ -40,7 +40,7 @@
     this._onChange.dispose()
   }
 
-  /** Takes a host out of use at an operator's request: a live host counts as leaving from now on. */
+  /** Drains a host at an operator's request: a live host counts as leaving from now on. */
   public drainHost (hostId: string): void {
     this._drainedHostIds.add(hostId)
     this._applyList(this._listed)
--- a/src/scheduler/hosts/RunnerSession.ts
+++ b/src/scheduler/hosts/RunnerSession.ts
@@ -56,7 +56,7 @@
     this._timer?.dispose()
   }
 
-  /** Takes over the host's current record from the host list. */
+  /** Updates the session to the host's current record in the host list. */
   public update (host: IHostRecord): void {
     this._host = host
     if (host.state === 'leaving' && this._state === 'ready') this._setState('leaving')
--- a/src/scheduler/jobs/Jobs.test.ts
+++ b/src/scheduler/jobs/Jobs.test.ts
@@ -35,7 +35,7 @@
 })
 
 test('a job that is not stored is not accepted, and a job in doubt is not reported as refused', async (t) => {
-  // The store is down when a job is submitted. If the job were accepted, it would be lost when this process dies, and its
+  // The store is unavailable when a job is submitted. If the job were accepted, it would be lost when this process dies, and its
   // caller would wait for ever.
   const cell = await startJobsCell(1, 1)
   const owner = cell.scheduler(0).jobs
--- a/src/scheduler/jobs/Reservations.ts
+++ b/src/scheduler/jobs/Reservations.ts
@@ -1,6 +1,6 @@
 /**
  * Places that this scheduler reserves on its workers for all-at-once jobs that span several schedulers, until all places
- * of the job are reserved or the reservation expires. `HeldTries` decides which try of a job is still valid.
+ * of the job are reserved or the reservation expires. `TryFence` decides which try of a job is still valid.
  */
 
 import { TryFence } from '../../common/state/TryFence.js'
@@ -80,8 +80,9 @@
   }
 
   /**
-   * Whether the process that made the reservation still owns the job. A successor, which was told that none of the tasks
-   * runs, may have started them by now; if they were started here too, each would run on two hosts.
+   * Whether all tasks may still be started: no newer owner of the job is known, and no task is held or has ended here. A newer
+   * owner, to which no scheduler reported the tasks as running, may have started them by now; if they were started here too,
+   * each would run on two hosts.
    */
   private _canStillPlace (reservation: IReservation): boolean {
     return reservation.tasks.every((task) => this._tasks.answerIfKnown(task) === undefined)
--- a/src/scheduler/jobs/SchedulerChoice.ts
+++ b/src/scheduler/jobs/SchedulerChoice.ts
@@ -104,9 +104,9 @@
   }
 }
 
-/** Whether `resources` fit into `room`. */
-export function fits (resources: IResources, room: IResources): boolean {
-  return resources.cores <= room.cores && resources.memoryBytes <= room.memoryBytes && resources.accelerators <= room.accelerators
+/** Whether `resources` fit into `free`. */
+export function fits (resources: IResources, free: IResources): boolean {
+  return resources.cores <= free.cores && resources.memoryBytes <= free.memoryBytes && resources.accelerators <= free.accelerators
 }
 
 export function addResources (a: IResources, b: IResources): IResources {
--- a/src/scheduler/jobs/WorkerSession.ts
+++ b/src/scheduler/jobs/WorkerSession.ts
@@ -97,7 +97,7 @@
     this._retries.clear()
   }
 
-  /** Takes over the host's current record from the host list. `gone` counts only if the host doesn't answer either. */
+  /** Updates the session to the host's current record in the host list. `gone` counts only if the host doesn't answer either. */
   public update (host: IHostRecord): void {
     const before = this.accepting
     this._host = host
--- a/src/scheduler/jobs/index.ts
+++ b/src/scheduler/jobs/index.ts
@@ -1,6 +1,6 @@
 /**
  * Jobs on workers. One `TaskService` places tasks on the workers that this process owns; one `JobOwner` manages the jobs
- * whose id shards it owns. Both talk to all schedulers, including this one, through `JobPeers`. The scheduler wires the
+ * whose id shards it owns. Both call all schedulers, including this one, through `JobPeers`. The scheduler wires the
  * parts as follows:
  *
  *     const peers = new JobPeers(hub, clock)
--- a/src/scheduler/ownership/ClaimService.ts
+++ b/src/scheduler/ownership/ClaimService.ts
@@ -36,7 +36,7 @@
   readonly commitTimeoutMs: number
   /** Time between two tries while the store doesn't answer, in milliseconds. */
   readonly retryMs: number
-  /** The retry delay that callers are given while the store doesn't answer, in milliseconds. */
+  /** The retry delay in answers to callers while the store doesn't answer, in milliseconds. */
   readonly retryAfterMs: number
   readonly sealBytes: number
   readonly maxCommitBytes: number
--- a/src/scheduler/ownership/MemberRegistration.ts
+++ b/src/scheduler/ownership/MemberRegistration.ts
@@ -2,7 +2,7 @@
  * Keeps this process registered as a member: its entry at `members/<processId>` is attached to a store lease, and while
  * the entry exists, no other process takes over its shards.
  *
- * If the process is paused or the store is down for longer than the lease, the entry disappears and other members may
+ * If the process is paused or the store is unavailable for longer than the lease, the entry disappears and other members may
  * take its shards; the next keepalive is then refused. The process registers again, and `ShardOwner` reads which shards
  * it still owns. Shards that were taken meanwhile are fenced by their new epoch.
  */
--- a/src/scheduler/ownership/Ownership.fuzz.test.ts
+++ b/src/scheduler/ownership/Ownership.fuzz.test.ts
@@ -1,5 +1,5 @@
 /**
- * Several owners on one store in long random runs: processes are killed and replaced, leases lapse, and the store is down
+ * Several owners on one store in long random runs: processes are killed and replaced, leases lapse, and the store is unavailable
  * or loses answers. The reference model is a table of the process that acquired each epoch of each shard.
  */
 
--- a/src/scheduler/ownership/ShardOwner.test.ts
+++ b/src/scheduler/ownership/ShardOwner.test.ts
@@ -116,7 +116,7 @@
   }
 })
 
-// The store is down for longer than every lease. When it is back, no member is registered any more, and if each process
+// The store is unavailable for longer than every lease. When it is back, no member is registered any more, and if each process
 // immediately took the shards that seem free, every shard would change owner.
 test('owners keep their shards through an outage and after it', async (t) => {
   const clock = new ManualClock()
--- a/src/scheduler/ownership/Slice.ts
+++ b/src/scheduler/ownership/Slice.ts
@@ -16,7 +16,7 @@
 
 export interface ISliceOptions {
   readonly retentionMs: number
-  /** The retry delay that callers are given while the store doesn't answer, in milliseconds. */
+  /** The retry delay in answers to callers while the store doesn't answer, in milliseconds. */
   readonly retryAfterMs: number
 }
 
@@ -126,7 +126,7 @@
   }
 
   /**
-   * Releases claims whose commit succeeded after it had been in doubt: their holders were told `unavailable` and gave up.
+   * Releases claims whose commit succeeded after it had been in doubt: their holders were answered `unavailable` and gave up.
    * Such a claim was granted to nobody. If it stayed, the id could never run, because its repeats would be referred to an
    * attempt that never ran.
    */
--- a/src/scheduler/ownership/SliceWriter.ts
+++ b/src/scheduler/ownership/SliceWriter.ts
@@ -37,7 +37,7 @@
 
 export interface ISliceCommit {
   readonly entries: readonly SliceEntry[]
-  /** The callers that waited for these entries were told `inDoubt` before the commit succeeded. */
+  /** The callers that waited for these entries were answered `inDoubt` before the commit succeeded. */
   readonly wasInDoubt: boolean
 }
 
--- a/src/scheduler/ownership/StoreOutcome.ts
+++ b/src/scheduler/ownership/StoreOutcome.ts
@@ -1,5 +1,5 @@
 /**
- * Maps the store's answers to the write outcomes that the state machines take.
+ * Maps the store's answers to the write outcomes that the state machines accept.
  */
 
 import { AmbiguousError, ConflictError } from '../../common/Errors.js'
--- a/src/scheduler/requests/ClaimClient.test.ts
+++ b/src/scheduler/requests/ClaimClient.test.ts
@@ -27,7 +27,7 @@
   return { client: new ClaimClient(context as unknown as IClaimClientContext), clock }
 }
 
-test('while the store is down and the shard has no owner, the answer comes immediately', async (t) => {
+test('while the store is unavailable and the shard has no owner, the answer comes immediately', async (t) => {
   // The owner of an id shard dies during a store outage. No process can take the shard over before the outage ends, so it
   // is useless to let the caller wait.
   const { client } = createClient(false, [])
--- a/src/scheduler/requests/ClaimClient.ts
+++ b/src/scheduler/requests/ClaimClient.ts
@@ -59,7 +59,7 @@
   }
 
   /**
-   * Releases a claim in the background. During a store outage, a claim may be in doubt and its holder is told
+   * Releases a claim in the background. During a store outage, a claim may be in doubt and its holder is answered
    * `unavailable`; the claim may then become durable under a new owner of the shard, which can't know that it was granted
    * to nobody. Without a release, the request would never have run, and no repeat could run it. The number of tries is
    * small, because most such claims were never stored.
--- a/src/scheduler/requests/RequestService.test.ts
+++ b/src/scheduler/requests/RequestService.test.ts
@@ -209,7 +209,7 @@
 })
 
 test('without a claim nothing runs, and the answer says why', async (t) => {
-  // The store is down, or the same id is already claimed by another attempt.
+  // The store is unavailable, or the same id is already claimed by another attempt.
   const fixture = await new Fixture([]).start()
   fixture.claimReply = { decision: 'unavailable', retryAfterMs: 700 }
   t.like(await fixture.send('neighbour-broadcast', 'x.1'), { outcome: 'refused', reason: 'storeUnavailable', retryAfterMs: 700 })
