--- a/src/common/state/GangReservation.test.ts
+++ b/src/common/state/GangReservation.test.ts
@@ -60,7 +60,7 @@
   t.deepEqual(gang.nextCommands(0).map(({ scheduler }) => scheduler), ['s2'])
 })
 
-// The last reservation took so long that the first is about to expire: a start would find it gone.
+// The last reservation took so long that the first is about to expire, and a start would arrive after that.
 test('nothing starts when a reservation is about to expire', (t) => {
   const gang = setUp()
   gang.nextCommands(0)
--- a/src/common/state/GangReservation.ts
+++ b/src/common/state/GangReservation.ts
@@ -3,7 +3,7 @@
  * that.
  *
  * Two jobs that hold half of the places each must not wait for each other for ever. So places are requested in the same order (of
- * process id) by every owner, no one waits while holding any, and a try that can't be completed is given back immediately; the
+ * process id) by every owner, no owner waits while it holds places, and a try that can't be completed is given back immediately; the
  * owner of the job makes the next try after a random pause that grows. Reservations expire in case this process dies.
  *
  * A scheduler may die between the first start and the last. Then the tasks that did start are cancelled: a job can be partly
--- a/src/common/state/JobFence.ts
+++ b/src/common/state/JobFence.ts
@@ -2,7 +2,7 @@
  * Decides at a scheduler whether an attempt of a job's task may start there, and records who owns the job.
  *
  * It guards against this failure: the owner of an id shard is paused, another process takes over its jobs and starts a task's
- * next attempt, and then the first owner wakes and requests an attempt of its own from another scheduler. The hosts can't refuse
+ * next attempt, and then the first owner resumes and requests an attempt of its own from another scheduler. The hosts can't refuse
  * it, since both schedulers own the hosts that they place on, and the task would run in two places. So each scheduler stores the
  * highest known epoch of each id shard and refuses commands with an older one. A new owner announces its epoch to every scheduler
  * and learns what runs there before it places anything. From then on it receives all reports: if the end of a task were reported
--- a/src/common/state/ShardAssignment.ts
+++ b/src/common/state/ShardAssignment.ts
@@ -4,7 +4,7 @@
  *
  * Shards with hosts are assigned to schedulers of their region, since each dispatch to another region takes 20 ms and is charged
  * by volume. Within a group (kind and region) the shards are spread evenly: plain rendezvous hashing of few shards over few
- * members gives some members twice their share, and their hosts would wait for a busy scheduler.
+ * members assigns some members twice their share, and their hosts would wait for a busy scheduler.
  */
 
 import xxhash from 'xxhash-wasm'
--- a/src/common/state/ShardOwnership.ts
+++ b/src/common/state/ShardOwnership.ts
@@ -3,7 +3,7 @@
  * those of `charts/shardOwnership.json`, which this class interprets.
  *
  * It guards against this failure: a process is paused, its lease expires, another process takes the shard over, and the first one
- * wakes and still believes that it is the owner. Both would place work on the same hosts. The epoch prevents this: each change of
+ * resumes and still acts as the owner. Both would place work on the same hosts. The epoch prevents this: each change of
  * owner raises it by compare-and-swap, and hosts and logs refuse an older one. So this class only has to detect the loss: from a
  * fence, from the record, or from a failed write.
  */
@@ -116,7 +116,7 @@
 
   /**
    * Whether this process may take the shard over: the recorded owner is gone, has restarted or has released it, or is this
-   * process, which lost track of it.
+   * process, which no longer knows that it owns the shard.
    */
   public canTake (isAlive: (owner: IOwner) => boolean): boolean {
     if (this._state !== 'absent') return false
@@ -130,7 +130,7 @@
     return { processId: this._record.owner, incarnation: this._record.ownerIncarnation }
   }
 
-  /** Starts a takeover. Do the returned write and report its outcome. */
+  /** Starts a takeover. Perform the returned write and report its outcome. */
   public startTakeover (): IRecordWrite | undefined {
     if (!this._chart.hasTransition(this._state, 'TAKE')) return undefined
     this._write = this._buildWrite(this._self, Math.max(this._record?.epoch ?? 0, this._fencedEpoch) + 1)
@@ -168,7 +168,10 @@
     return this._applyEvent(this._eventOf(record, modRevision === this._write?.expectedModRevision))
   }
 
-  /** Reports that a host or a log refused an epoch. If its epoch isn't above ours, the refusal is a late answer to an earlier owner. */
+  /**
+   * Reports that a host or a log refused an epoch. If `currentEpoch` isn't above the held epoch, the refusal is a late answer to an
+   * earlier owner.
+   */
   public reportFenced (currentEpoch: number): OwnershipChange | undefined {
     this._fencedEpoch = Math.max(this._fencedEpoch, currentEpoch)
     return currentEpoch > this._heldEpoch ? this._applyEvent('FENCED') : undefined
--- a/src/common/state/SliceLog.test.ts
+++ b/src/common/state/SliceLog.test.ts
@@ -38,7 +38,7 @@
   private readonly _delayedWrites: IStoreWrite[] = []
   private readonly _durable: string[] = []
   private readonly _dropped = new Set<string>()
-  /** The logs of all owners so far. An old one keeps writing, as a paused process does when it wakes. */
+  /** The logs of all owners so far. An earlier owner keeps writing, as a paused process does when it resumes. */
   private readonly _logs: (SliceLog | undefined)[] = []
   private _count = 0
   private _nonces = 0
--- a/src/common/state/SliceLog.ts
+++ b/src/common/state/SliceLog.ts
@@ -202,7 +202,7 @@
   private _reportSegment (write: ISegmentWrite, outcome: WriteOutcome, modRevision: number): SliceProgress {
     if (outcome === 'ambiguous') return { type: 'continue' }
     if (outcome === 'nothing') return this._drop([])
-    // A conflict means that an earlier try of this write did arrive: no one else writes a name with our epoch.
+    // A conflict means that an earlier try of this write did arrive: no other process writes a name with this epoch.
     this._write = undefined
     this._sealCount += 1
     this._sealed = { name: write.name, modRevision, ...summariseEntries(this._head.entries) }
--- a/src/common/state/TaskLeases.test.ts
+++ b/src/common/state/TaskLeases.test.ts
@@ -11,7 +11,7 @@
   return { hostMs, sentAtMs: localMs, receivedAtMs: localMs }
 }
 
-test('an attempt that the host has not listed under our epoch has ended; one that it lists has not', (t) => {
+test('an attempt that the host has not listed under this owner\'s epoch has ended; one that it lists has not', (t) => {
   const leases = new TaskLeases(OPTIONS)
   t.is(leases.decideNextAttempt('t', 1, 0), 'unfenced')
   leases.recordFence(at(5_000, 0), [{ taskId: 'u', attempt: 2, running: true }])
--- a/src/common/state/TaskLeases.ts
+++ b/src/common/state/TaskLeases.ts
@@ -3,18 +3,18 @@
  * start.
  *
  * It may start in two cases only:
- * 1. The host itself has reported, under our epoch, that the attempt has ended or that it doesn't know it. Under our epoch no
- * start or renewal of an earlier owner can take effect any more.
- * 2. The host has been fenced under our epoch, and its clock has certainly passed the latest expiry that any command could have
- * set. This covers our commands, whether answered or not, and those of earlier owners, which expire at the latest `leaseMs` after
- * the fence on the host's clock, since they too count from answers of this host. In addition, the store has confirmed, in a read
- * sent after that, that we still own the shard: a newer owner may have renewed the lease without our knowledge, and we might
- * start the next attempt on a host of another shard, which still accepts our commands. Without this read, a task could run twice
- * after a pause of its first owner.
+ * 1. The host itself has reported, under this owner's epoch, that the attempt has ended or that it doesn't know it. Under this
+ * epoch no start or renewal of an earlier owner can take effect any more.
+ * 2. The host has been fenced under this epoch, and its clock has certainly passed the latest expiry that any command could have
+ * set. This covers the commands of this owner, whether answered or not, and those of earlier owners, which expire at the latest
+ * `leaseMs` after the fence on the host's clock, since they too count from answers of this host. In addition, the store has
+ * confirmed, in a read sent after that, that this process still owns the shard: a newer owner may have renewed the lease without
+ * its knowledge, and it might start the next attempt on a host of another shard, which still accepts its commands. Without this
+ * read, a task could run twice after a pause of its first owner.
  *
- * It may not start while the host hasn't been fenced under our epoch, however long the host has been silent: an earlier owner
- * that is cut off from the store but not from the host may keep renewing the lease. Our own clock doesn't count either: the time
- * of sending gives no bound, since a renewal may still be in flight.
+ * It may not start while the host hasn't been fenced under this epoch, however long the host has been silent: an earlier owner
+ * that is cut off from the store but not from the host may keep renewing the lease. The clock of this process doesn't count
+ * either: the time of sending gives no bound, since a renewal may still be in flight.
  */
 
 import { HostClock } from './HostClock.js'
@@ -86,7 +86,7 @@
     }
   }
 
-  /** Records that the host has accepted our epoch, with the list of everything that it runs. */
+  /** Records that the host has accepted this owner's epoch, with the list of everything that it runs. */
   public recordFence (clock: IHostClockSnapshot, reports: readonly IAttemptReport[]): void {
     this._fenced = true
     this._inheritedUntilHostMs = clock.hostMs + this._options.leaseMs
@@ -94,8 +94,8 @@
   }
 
   /**
-   * Records a list of what runs on the host and what has ended there. An attempt of ours that isn't listed is left unchanged,
-   * since its start may still be in flight.
+   * Records a list of what runs on the host and what has ended there. An attempt that this owner sent and that isn't
+   * listed is left unchanged, since its start may still be in flight.
    */
   public recordList (clock: IHostClockSnapshot, reports: readonly IAttemptReport[]): void {
     this._clock.observe(clock)
@@ -119,7 +119,7 @@
     })
   }
 
-  /** Records that the store has returned the shard's record with our epoch, in a read sent at `sentAtMs`. */
+  /** Records that the store has returned the shard's record with this owner's epoch, in a read sent at `sentAtMs`. */
   public recordConfirmation (sentAtMs: MonotonicMs): void {
     this._confirmedAtMs = Math.max(this._confirmedAtMs, sentAtMs)
   }
@@ -129,7 +129,7 @@
     if (!this._fenced) return 'unfenced'
     const known = this._attempts.get(taskId)
     if (known !== undefined && known.attempt > attempt) return 'leased'
-    // Neither listed at the fence nor sent by us: it isn't there, and no earlier owner can start it any more.
+    // Neither listed at the fence nor sent by this owner: the attempt isn't there, and no earlier owner can start it any more.
     if (known === undefined || known.attempt < attempt || known.ended) return 'ended'
     if (!this._hasLapsed(known, nowMs)) return 'leased'
     return this._hasLapsed(known, this._confirmedAtMs) ? 'lapsed' : 'unconfirmed'
