--- a/src/runtime/HostListClient.ts
+++ b/src/runtime/HostListClient.ts
@@ -51,7 +51,7 @@
 
   /**
    * Replaces a malformed record by the last valid one of the same host. A malformed record must not hide the other hosts.
-   * It must not make its own host look gone either, because the host's tasks would be started elsewhere while they still run.
+   * Its own host must not count as gone either, because the host's tasks would be started elsewhere while they still run.
    */
   private _parseRecords (response: IHttpResponse): Result<readonly IHostRecord[], StoreError> {
     if (response.status !== STATUS_OK) return err(new UnreachableError(STEP, PEER, `status ${response.status}`))
--- a/src/runtime/HttpExchange.ts
+++ b/src/runtime/HttpExchange.ts
@@ -1,6 +1,6 @@
 /**
  * Sends one HTTP request over undici, and reports for certain whether the request was ever written to a connection. The
- * scheduler tells callers "not run" only because of this distinction, so no request is ever retried here.
+ * scheduler answers "not run" to callers only because of this distinction, so no request is ever retried here.
  */
 
 import { ResultAsync, err, ok } from 'neverthrow'
@@ -111,8 +111,8 @@
   /**
    * Accepts the response if it is complete for certain.
    *
-   * undici compares a declared length with the bytes that arrived. A response that ends with its connection can't be told
-   * from a truncated one, so a caller could get a truncated body with a success status.
+   * undici compares a declared length with the bytes that arrived. A response that ends with its connection can't be
+   * distinguished from a truncated one, so a caller could get a truncated body with a success status.
    */
   public onResponseEnd (): void {
     if (!this._hasDelimiter()) {
--- a/src/runtime/RunnerClient.test.ts
+++ b/src/runtime/RunnerClient.test.ts
@@ -80,8 +80,8 @@
 })
 
 test('a response without a length is an error', async (t) => {
-  // An upstream that ends its response by closing the connection can't be told from one that died half-way. The caller
-  // would get a truncated body as a complete one.
+  // An upstream that ends its response by closing the connection can't be distinguished from one that died half-way. The
+  // caller would get a truncated body as a complete one.
   const server = createServer((socket) => {
     socket.on('error', () => {})
     socket.once('data', () => { socket.end('HTTP/1.1 200 OK\r\nconnection: close\r\n\r\nhalf of') })
--- a/src/runtime/config/ConfigWatcher.ts
+++ b/src/runtime/config/ConfigWatcher.ts
@@ -74,11 +74,11 @@
 
   /**
    * Applies changed records. An operator's deletion is stored as an entry. A removed key was not removed through the operator
-   * interface: its last revision stays in force in the running processes, but a process that restarts later can't tell the item
-   * from one that never existed. Therefore the removal is logged as an error.
+   * interface: its last revision stays in force in the running processes, but a process that restarts later can't distinguish
+   * the item from one that never existed. Therefore the removal is logged as an error.
    */
   private _applyChanges (changes: readonly IStoreChange[]): void {
-    for (const gone of changes.filter(change => change.deleted)) this._logger.error('config.keyRemoved', { key: gone.key })
+    for (const removed of changes.filter(change => change.deleted)) this._logger.error('config.keyRemoved', { key: removed.key })
     this._applyRecords(changes.filter(change => !change.deleted))
   }
 
