--- a/src/daemon/ConfigExchange.ts
+++ b/src/daemon/ConfigExchange.ts
@@ -1,6 +1,6 @@
 /**
  * Exchanges configuration between processes: each process forwards changes to its linked peers, and a process that starts
- * while the store is down fetches all entries from a peer.
+ * while the store is unavailable fetches all entries from a peer.
  *
  * Without the exchange, an accepted change would reach only the processes whose watch delivered it before the store went
  * down, and different processes would apply old and new profiles to callers until the outage ends. A process forwards every
--- a/src/daemon/ControllerDaemon.ts
+++ b/src/daemon/ControllerDaemon.ts
@@ -52,7 +52,7 @@
 const CLOSE_RESERVE_MS = 1500
 /**
  * Processor capacity that an owner should have, in cores: with 250 hosts and 80 jobs a second, an owner uses half a core. A process
- * on a slower machine delays its attempt to become the owner by the yield time, in ms, and so owns the cell only if no other process takes it.
+ * on a slower machine delays its attempt to become the owner by `SLOW_MACHINE_YIELD_MS`, and so owns the cell only if no other does.
  */
 const OWNER_CORES = 0.6
 const SLOW_MACHINE_YIELD_MS = 600
--- a/src/daemon/ShardOwnershipSubsystem.ts
+++ b/src/daemon/ShardOwnershipSubsystem.ts
@@ -20,7 +20,7 @@
 import type { IShardAcquired, IShardLost } from '../scheduler/ownership/index.js'
 import type { DaemonCore } from './DaemonCore.js'
 
-/** How long releasing the shards waits for the store, in ms; if the store is down, the lease expires instead. */
+/** How long releasing the shards waits for the store, in ms; if the store is unavailable, the lease expires instead. */
 const RELEASE_TIMEOUT_MS = 5000
 /** Two renewals may be lost before the lease expires. */
 const RENEWALS_PER_LEASE = 3
