--- a/src/peer/CallTable.ts
+++ b/src/peer/CallTable.ts
@@ -68,7 +68,7 @@
     this._sentUpToId = this._lastId
   }
 
-  /** Ends a call with its reply. Returns false if no such call waits. A malformed reply doesn't tell whether the call took effect. */
+  /** Ends a call with its reply. Returns false if no such call waits. A malformed reply doesn't show whether the call took effect. */
   public completeCall (callId: number, reply: unknown): boolean {
     return this._endCall(callId, ({ name, step }) => {
       const shape = replyShape(name)
--- a/src/peer/Handshake.ts
+++ b/src/peer/Handshake.ts
@@ -69,7 +69,7 @@
     return encode({ version: PROTOCOL_VERSION, identity: pickIdentity(this._self), nonce: toBase64(this._nonce) })
   }
 
-  /** The message that tells an authenticated dialler why the listener refuses the link. */
+  /** The message by which the listener refuses the link of an authenticated dialler, with the reason. */
   public static createRefusal (reason: string): Uint8Array {
     return encode({ refused: reason.slice(0, MAX_ID_LENGTH) })
   }
--- a/src/peer/MemberProber.ts
+++ b/src/peer/MemberProber.ts
@@ -1,7 +1,7 @@
 /**
  * Periodically dials one random member that this process has no link to.
  *
- * Two conditions would go undetected without probes. If a failure domain is lost while the store is down, members
+ * Two conditions would go undetected without probes. If a failure domain is lost while the store is unavailable, members
  * may die together with all peers that had links to them, and would stay alive in every member list. And after a
  * partition has healed, its two sides consider each other dead and would never dial each other again. The cost is one
  * handshake per period and process, whatever the number of members.
--- a/src/peer/MembershipAgent.test.ts
+++ b/src/peer/MembershipAgent.test.ts
@@ -44,7 +44,7 @@
 test.after.always(disposeAll)
 
 test('processes that know one peer find all members, and learn of a death and of a restart at another address', async (t) => {
-  // The store is down. Processes start with one address from their settings. Later one of them is killed and started
+  // The store is unavailable. Processes start with one address from their settings. Later one of them is killed and started
   // again. All others must learn of this from each other alone.
   const a = await startAgent('a', [])
   const seeds = [{ processId: 'a', peerUrl: a.url }]
--- a/src/peer/MembershipAgent.ts
+++ b/src/peer/MembershipAgent.ts
@@ -108,7 +108,7 @@
       member.role === 'scheduler' && member.state === 'alive' && this._hub.link(member.processId) !== undefined)
   }
 
-  /** Tells all linked peers at once that this process is leaving, so that it receives no new work. */
+  /** Announces to all linked peers at once that this process is leaving, so that it receives no new work. */
   public leave (): void {
     this._membership.leave()
     for (const link of this._hub.links()) {
--- a/src/peer/PeerHub.test.ts
+++ b/src/peer/PeerHub.test.ts
@@ -79,7 +79,7 @@
   await endPair(pair)
 })
 
-test('a call ends with the error that tells whether it may have taken effect', async (t) => {
+test('a call ends with the error that shows whether it may have taken effect', async (t) => {
   const pair = await linkedPair({ maxFrameBytes: 10_000 })
   pair.b.handle('drain', async (request) => {
     if (request.hostId === 'refuse') throw new RefusedError('drain', 'h1', 'no such host')
