--- a/src/common/membership/Membership.test.ts
+++ b/src/common/membership/Membership.test.ts
@@ -27,7 +27,7 @@
 }
 
 test('a member that dies becomes dead in all views, and the views converge without it', (t) => {
-  // A host is lost. Processes that are linked to it see the link fail. The others must be told of this, or they would
+  // A host is lost. Processes that are linked to it see the link fail. The others must learn of this, or they would
   // continue to send work to the lost process.
   const cluster = settledCluster(9)
   cluster.node('p3').state = 'killed'
@@ -97,7 +97,7 @@
 })
 
 test('a process that starts during a store outage and knows one member learns of all members', (t) => {
-  // The store is down when a host is replaced. The new process has one address from its settings. It must find all other
+  // The store is unavailable when a host is replaced. The new process has one address from its settings. It must find all other
   // members, most of which will never dial it, and they must learn of it.
   const cluster = settledCluster(60, 3)
   cluster.start('new', 'r0', [cluster.node('p4')])
@@ -105,7 +105,7 @@
 })
 
 test('after a store outage in which all leases have expired, no member is suspected', (t) => {
-  // The store is down for minutes. When it is reachable again, all records are missing, although the members are alive
+  // The store is unavailable for minutes. When it is reachable again, all records are missing, although the members are alive
   // and only could not renew their leases. If this counted at once, all members would be suspected.
   let suspicions = 0
   const cluster = startCluster(40, 1, SEED, (_from, _to, cast) => {
--- a/src/common/membership/Membership.ts
+++ b/src/common/membership/Membership.ts
@@ -244,7 +244,7 @@
     return new Set(chosen.map((peer) => peer.processId))
   }
 
-  /** Whether a linked peer is suspect or dead in the shared view. The peer must be told, as only the peer can refute this. */
+  /** Whether a linked peer is suspect or dead in the shared view. The peer must receive that statement, as only the peer can refute it. */
   private _hasToRefute (peer: IProcessIdentity): boolean {
     const state = this._view.statementOf(peer.processId)?.state
     return state === 'suspect' || state === 'dead'
