--- a/src/gateway/OutcomeResolver.test.ts
+++ b/src/gateway/OutcomeResolver.test.ts
@@ -70,7 +70,7 @@
 
 test('the holder of the claim is asked for the outcome', async (t) => {
   // The link was lost just after the request was sent, and came back; the work has run. If the holder were not asked, the
-  // caller would get "unknown" and could not tell whether to start the pivot again.
+  // caller would get "unknown" and would not know whether to start the pivot again.
   const { resolver, clock, calls } = setUp([{ decision: 'claimed', holder: `s1#${HOLDER_INCARNATION}` }])
   t.like(await answerAfterAdvance(clock, resolver.resolve(requestAt(0), 'a1', 's1')), { outcome: 'done' })
   t.like(calls[1], { to: 's1', name: 'outcomeOf' })
--- a/src/gateway/RequestForwarder.test.ts
+++ b/src/gateway/RequestForwarder.test.ts
@@ -102,7 +102,7 @@
   t.deepEqual(blocked.calls, ['submit s1', 'block s2', 'block s2', 'block s2', 'submit s2'])
 })
 
-test('what was claimed is asked of its holder, and stays unknown when nobody can tell', async (t) => {
+test('the holder of a claim is asked for the outcome, which stays unknown if the owner of the claim can\'t be reached', async (t) => {
   const claimed = new Fixture([LINK_LOST], [{ decision: 'claimed', holder: 's2#5' }])
   t.like(await claimed.run(false), { outcome: 'done' })
   t.deepEqual(claimed.calls, ['submit s1', 'block s2', 'outcomeOf s2'])
--- a/src/gateway/RequestForwarder.ts
+++ b/src/gateway/RequestForwarder.ts
@@ -72,8 +72,8 @@
   }
 
   /**
-   * Handles a failed link or a scheduler that stopped answering. A request that was never sent did not run. One that was
-   * sent may run: it may be sent again if it is idempotent, any other only after its outcome has been determined.
+   * Handles a failed link or a scheduler that stopped answering. A request that was never sent did not run. A request
+   * that was sent may run: if it is idempotent, it may be sent again at once, otherwise only after its outcome has been determined.
    */
   private async _handleFailure (request: IRoutedRequest, schedulerId: string, attemptId: string, error: PeerError): Promise<IFinalAnswer> {
     this._context.log.warn('request.linkFailed', { requestId: request.requestId, step: error.step, peer: schedulerId, attemptId })
