--- a/bench/decisions/Arrivals.ts
+++ b/bench/decisions/Arrivals.ts
@@ -5,7 +5,7 @@
 import type { IProfile } from '../../src/common/config/Types.js'
 import type { IEngineHost } from '../../src/common/policy/Types.js'
 import type { IRandom, IResources } from '../../src/common/Types.js'
-import type { IArrival, ITrueWork } from './Types.js'
+import type { IArrival, IActualWork } from './Types.js'
 
 export const GIB = 2 ** 30
 
@@ -109,7 +109,7 @@
   return { atMs, work, groupId: id }
 }
 
-function workOf (stream: IStream, random: IRandom, atMs: number, id: string, caller: string): ITrueWork {
+function workOf (stream: IStream, random: IRandom, atMs: number, id: string, caller: string): IActualWork {
   const runMs = Math.max(1, stream.runMs(random))
   const resources = stream.resources?.(random) ?? SLOT
   const item = {
--- a/bench/decisions/Types.ts
+++ b/bench/decisions/Types.ts
@@ -6,7 +6,7 @@
 import type { IResources } from '../../src/common/Types.js'
 
 /** One item with its true run time and usage, which the engine does not know. */
-export interface ITrueWork {
+export interface IActualWork {
   readonly item: IWorkItem
   readonly runMs: number
   /** The true usage, reported some time after the start; absent if it is as declared. */
@@ -15,7 +15,7 @@
 
 export interface IArrival {
   readonly atMs: number
-  readonly work: readonly ITrueWork[]
+  readonly work: readonly IActualWork[]
   /** Set for an all-at-once job. */
   readonly groupId?: string
 }
--- a/bench/decisions/VirtualRun.ts
+++ b/bench/decisions/VirtualRun.ts
@@ -10,7 +10,7 @@
 import type { IClock } from '../../src/common/Types.js'
 import type { IMutableResources } from '../../src/common/policy/Resources.js'
 import type { AttemptEnd, EngineDecision, IDecisionEngine, IEngineHost, IWorkItem } from '../../src/common/policy/Types.js'
-import type { IArrival, IHostFault, IScenario, ITrueWork } from './Types.js'
+import type { IArrival, IHostFault, IScenario, IActualWork } from './Types.js'
 
 /** The time after which a host that fails all its work fails an item. */
 const FAILS_AFTER_MS = 1
@@ -43,7 +43,7 @@
 }
 
 interface IRunningWork {
-  readonly work: ITrueWork
+  readonly work: IActualWork
   readonly hostId: string
   readonly startedAtMs: number
   countedUsage: IMutableResources
@@ -52,7 +52,7 @@
 export class VirtualRun {
   public readonly outcomes: Outcomes
   private readonly _events = new Heap<IEvent>((a, b) => a.atMs === b.atMs ? a.order - b.order : a.atMs - b.atMs)
-  private readonly _workById = new Map<string, ITrueWork>()
+  private readonly _workById = new Map<string, IActualWork>()
   private readonly _waiting = new Map<string, IWorkItem>()
   private readonly _running = new Map<string, IRunningWork>()
   private readonly _usedByHost = new Map<string, IMutableResources>()
--- a/spec/OwnershipSpec.ts
+++ b/spec/OwnershipSpec.ts
@@ -74,7 +74,7 @@
   const ownership = openOwnership(name, process)
   if ((ownership.record?.epoch ?? 0) >= MAX_EPOCH || ownership.snapshot().fencedEpoch >= MAX_EPOCH) return false
   if (mutant === 'no-read-back' && ownership.owner?.processId === name) return false
-  return ownership.canTake(({ processId }) => state.processes[processId as Name].isRegistered)
+  return ownership.canTakeOver(({ processId }) => state.processes[processId as Name].isRegistered)
 }
 
 function swapRecord (state: IOwnershipState, write: IRecordWrite, mutant: string | undefined): { outcome: WriteOutcome, modRevision: number } {
--- a/src/cell/Handover.test.ts
+++ b/src/cell/Handover.test.ts
@@ -68,7 +68,7 @@
   // If such a process were named as the standby, it could not take the cell over.
   const handlers = new Map<string, () => Promise<{ readonly isWilling: boolean }>>()
   const hub = { handle: (name: string, handler: () => Promise<{ readonly isWilling: boolean }>) => { handlers.set(name, handler) } }
-  const ownership = { canAcquire: true, isCurrent: false, yieldMs: 0, peerUrl: '', reachesStore: async () => false }
+  const ownership = { canAcquire: true, isCurrent: false, yieldMs: 0, peerUrl: '', checkStoreReachable: async () => false }
   registerOwnershipHandlers(hub as unknown as IPeerHub, ownership as unknown as Ownership)
   t.is((await handlers.get('cellOffer')?.())?.isWilling, false)
   t.is((await handlers.get('cellRelief')?.())?.isWilling, false)
--- a/src/cell/Handover.ts
+++ b/src/cell/Handover.ts
@@ -25,10 +25,10 @@
 
 /** Registers the handlers of the peers' calls that concern who owns the cell. */
 export function registerOwnershipHandlers (handlers: IPeerHandlers, ownership: Ownership): void {
-  handlers.handle('cellReach', async () => ({ isReached: ownership.isOwner && await ownership.reachesStore() }))
+  handlers.handle('cellReach', async () => ({ isReached: ownership.isOwner && await ownership.checkStoreReachable() }))
   const offer = (isWilling: boolean): ICellOfferReply => ({ isWilling, yieldMs: ownership.yieldMs, peerUrl: ownership.peerUrl })
   handlers.handle('cellOffer', async () => offer(ownership.canAcquire && ownership.isCurrent))
-  handlers.handle('cellRelief', async () => offer(ownership.canAcquire && await ownership.reachesStore()))
+  handlers.handle('cellRelief', async () => offer(ownership.canAcquire && await ownership.checkStoreReachable()))
   handlers.handle('cellTakeOver', async (owner) => ({ isOwner: await ownership.acceptHandover(owner) }))
 }
 
--- a/src/cell/HostSessions.test.ts
+++ b/src/cell/HostSessions.test.ts
@@ -29,7 +29,7 @@
     records: { hostsPrefix: '', decodeHostEntry: ({ key, value }: IMetadataItem) => ({ hostId: key, draining: value === 'draining' }) },
     scheduler: {
       hosts,
-      noteSilence: () => false,
+      loseRunsIfLapsed: () => false,
       addHost: (entry: IHostEntry) => {
         hosts.set(entry.hostId, { entry, isListed: true, attempts: new Set() })
         return hosts.get(entry.hostId)
--- a/src/cell/HostSessions.ts
+++ b/src/cell/HostSessions.ts
@@ -126,7 +126,7 @@
       holdUntilMs: () => this._context.holdUntilMs(),
       onHeld: (held, answer, sentAtMs) => { if (!this._isDisposed) scheduler.applyHoldAnswer(held, answer, sentAtMs) },
       onFenced: (held) => { this._context.onFenced(held.hostId) },
-      onFailure: (silent) => scheduler.noteSilence(silent)
+      onFailure: (silent) => scheduler.loseRunsIfLapsed(silent)
     }, this._maxHoldMs, clock, log)
     this._sessions.set(hostId, session)
     session.start()
@@ -136,7 +136,7 @@
   private _removeLapsedHosts (): void {
     const { scheduler, orders, log } = this._context
     for (const host of [...scheduler.hosts.values()]) {
-      if (host.isListed || !scheduler.noteSilence(host)) continue
+      if (host.isListed || !scheduler.loseRunsIfLapsed(host)) continue
       this._sessions.get(host.hostId)?.dispose()
       this._sessions.delete(host.hostId)
       scheduler.hosts.delete(host.hostId)
--- a/src/cell/OwnerChallenge.ts
+++ b/src/cell/OwnerChallenge.ts
@@ -33,28 +33,28 @@
   private _bothAwayAtMs: MonotonicMs = -Infinity
 
   public constructor (
-    private readonly _ownership: Pick<Ownership, 'isOwner' | 'reachesStore' | 'takeOver' | 'yieldMs'>,
+    private readonly _ownership: Pick<Ownership, 'isOwner' | 'checkStoreReachable' | 'takeOver' | 'yieldMs'>,
     private readonly _clock: IClock & ITimers,
     private readonly _random: IRandom,
     private readonly _log: ILogger
   ) {}
 
-  /** @param ownerReaches asks the owner whether it reaches the store now */
-  public async challenge (from: IOwnerRecord, ownerReaches: () => Promise<boolean>): Promise<ChallengeOutcome> {
+  /** @param checkOwnerReachesStore asks the owner whether it reaches the store now */
+  public async challenge (from: IOwnerRecord, checkOwnerReachesStore: () => Promise<boolean>): Promise<ChallengeOutcome> {
     if (this._clock.nowMs() - this._comparedAtMs > RESULT_VALID_MS) {
       this._comparedAtMs = this._clock.nowMs()
-      this._comparison = this._compareReach(ownerReaches)
+      this._comparison = this._compareReach(checkOwnerReachesStore)
     }
     if (this._clock.nowMs() - this._bothAwayAtMs < BOTH_AWAY_VALID_MS) return 'bothAway'
     const outcome = await this._comparison
-    if (outcome === 'takesOver') this._takeOverUnlessBack(from, ownerReaches)
+    if (outcome === 'takesOver') this._takeOverUnlessBack(from, checkOwnerReachesStore)
     return outcome
   }
 
-  private async _compareReach (ownerReaches: () => Promise<boolean>): Promise<ChallengeOutcome> {
-    const ownReach = this._ownership.reachesStore()
+  private async _compareReach (checkOwnerReachesStore: () => Promise<boolean>): Promise<ChallengeOutcome> {
+    const ownReach = this._ownership.checkStoreReachable()
     // A process has no link to itself that could carry the question.
-    const [isReached, isReachedByOwner] = await Promise.all([ownReach, this._ownership.isOwner ? ownReach : ownerReaches()])
+    const [isReached, isReachedByOwner] = await Promise.all([ownReach, this._ownership.isOwner ? ownReach : checkOwnerReachesStore()])
     const isAway = !isReached && !isReachedByOwner
     this._bothAwayAtMs = isAway ? this._clock.nowMs() : -Infinity
     if (isReachedByOwner) return 'ownerIsWell'
@@ -62,10 +62,10 @@
   }
 
   /** Asks the owner again after a long delay, because it may reach the store by then. */
-  private _takeOverUnlessBack (from: IOwnerRecord, ownerReaches: () => Promise<boolean>): void {
+  private _takeOverUnlessBack (from: IOwnerRecord, checkOwnerReachesStore: () => Promise<boolean>): void {
     const delayMs = this._ownership.yieldMs + this._random.next() * TAKEOVER_JITTER_MS
     this._clock.after(delayMs, () => {
-      const isBack = delayMs > STALE_RESULT_MS ? ownerReaches() : Promise.resolve(false)
+      const isBack = delayMs > STALE_RESULT_MS ? checkOwnerReachesStore() : Promise.resolve(false)
       isBack.then((back) => { if (!back) this._ownership.takeOver(from) },
         (error: unknown) => { this._log.error('owner.takeFailed', { reason: String(error) }) })
     })
--- a/src/cell/OwnerRoute.ts
+++ b/src/cell/OwnerRoute.ts
@@ -20,7 +20,7 @@
   /** The owner if it is this process. */
   local (): ILocalOwner | undefined
   /** Takes the cell over from an owner that can't reach the store, if this process can. */
-  challenge (from: IOwnerRecord, ownerReaches: () => Promise<boolean>): Promise<ChallengeOutcome>
+  challenge (from: IOwnerRecord, checkOwnerReachesStore: () => Promise<boolean>): Promise<ChallengeOutcome>
 }
 
 export interface ILocalOwner extends Omit<ICellOwnerPort, 'submit'> {
--- a/src/cell/Ownership.test.ts
+++ b/src/cell/Ownership.test.ts
@@ -165,21 +165,21 @@
   await advance(clock, 50, 10)
   const from = { ...OTHER, revision: 10 }
   store.get = async () => await NEVER
-  const ownerReaches = async (): Promise<boolean> => {
+  const checkOwnerReachesStore = async (): Promise<boolean> => {
     await new Promise<void>((resolve) => { clock.after(400, resolve) })
     return false
   }
-  const first = challenge.challenge(from, ownerReaches)
+  const first = challenge.challenge(from, checkOwnerReachesStore)
   await advance(clock, 450, 10)
   t.is(await first, 'bothAway')
   await advance(clock, 100, 10)
-  t.is(await Promise.race([challenge.challenge(from, ownerReaches), settle().then(() => 'held back')]), 'bothAway')
+  t.is(await Promise.race([challenge.challenge(from, checkOwnerReachesStore), settle().then(() => 'held back')]), 'bothAway')
   await advance(clock, 450, 10)
   store.get = async () => ({ kind: 'read', value: store.item })
   await advance(clock, 100, 10)
-  t.is(await Promise.race([challenge.challenge(from, ownerReaches), settle().then(() => 'held back')]), 'bothAway')
+  t.is(await Promise.race([challenge.challenge(from, checkOwnerReachesStore), settle().then(() => 'held back')]), 'bothAway')
   await advance(clock, 600, 10)
-  const later = challenge.challenge(from, ownerReaches)
+  const later = challenge.challenge(from, checkOwnerReachesStore)
   await advance(clock, 450, 10)
   t.is(await later, 'takesOver')
 })
--- a/src/cell/Ownership.ts
+++ b/src/cell/Ownership.ts
@@ -131,7 +131,7 @@
   }
 
   /** Whether the store answers this process in time. */
-  public async reachesStore (): Promise<boolean> {
+  public async checkStoreReachable (): Promise<boolean> {
     const timeout = new Promise<boolean>((resolve) => { this._clock.after(REACH_TIMEOUT_MS, () => { resolve(false) }) })
     return await Promise.race([this._store.get(OWNER_KEY).then((read) => read.kind === 'read'), timeout])
   }
--- a/src/cell/StoreLossHandover.test.ts
+++ b/src/cell/StoreLossHandover.test.ts
@@ -45,8 +45,8 @@
   })
   const hub = { links: () => links, link: (processId: string) => links.find(({ peer }) => peer.processId === processId) }
   const confirmed = new Emitter<number>()
-  const reachesStore = async (): Promise<boolean> => await after(times.owner, true)
-  const ownership = { record: RECORD, onConfirmed: confirmed.event, confirmedAtMs: clock.nowMs(), reachesStore }
+  const checkStoreReachable = async (): Promise<boolean> => await after(times.owner, true)
+  const ownership = { record: RECORD, onConfirmed: confirmed.event, confirmedAtMs: clock.nowMs(), checkStoreReachable }
   const relief = new StoreLossHandover(hub as unknown as IPeerHub, ownership, RECORD, clock, new SilentLogger())
   t.teardown(() => { relief.dispose() })
   /** The store confirms the owner now, `durationMs` after the request. */
--- a/src/cell/StoreLossHandover.ts
+++ b/src/cell/StoreLossHandover.ts
@@ -37,7 +37,7 @@
   /** @param _record the ownership to hand over; the object is disposed when that ownership ends */
   public constructor (
     private readonly _hub: IPeerHub,
-    private readonly _ownership: Pick<Ownership, 'record' | 'confirmedAtMs' | 'onConfirmed' | 'reachesStore'>,
+    private readonly _ownership: Pick<Ownership, 'record' | 'confirmedAtMs' | 'onConfirmed' | 'checkStoreReachable'>,
     private readonly _record: IOwnerRecord,
     private readonly _clock: IClock & ITimers,
     private readonly _log: ILogger
@@ -62,7 +62,7 @@
     const { confirmedAtMs } = this._ownership
     this._askedAtMs = this._clock.nowMs()
     let isReached = false
-    this._ownership.reachesStore().then((reached) => { isReached = reached }, (error: unknown) => { this._logFailure(error) })
+    this._ownership.checkStoreReachable().then((reached) => { isReached = reached }, (error: unknown) => { this._logFailure(error) })
     const offers = await this._collectOffers()
     const successor = chooseSuccessor(offers)
     const isBack = isReached || this._ownership.confirmedAtMs > confirmedAtMs || this._ownership.record?.revision !== this._record.revision
--- a/src/common/cell/AdviceDispatcher.test.ts
+++ b/src/common/cell/AdviceDispatcher.test.ts
@@ -22,7 +22,7 @@
     send: async (machine, { jobId }) => await new Promise((resolve) => { sent.push({ machine, jobId, answer: resolve }) })
   }, new ManualClock())
   const ask = (jobId: string, expectedMs: number, priority = 1): void => {
-    dispatcher.ask({ jobId, step: 0, hostIds: [], priority, dueMs: 0, expectedMs, isWanted: () => true, settle: () => {} })
+    dispatcher.dispatch({ jobId, step: 0, hostIds: [], priority, dueMs: 0, expectedMs, isWanted: () => true, settle: () => {} })
   }
   return { sent, ask, machines: () => sent.map(({ machine }) => machine) }
 }
--- a/src/common/cell/AdviceDispatcher.ts
+++ b/src/common/cell/AdviceDispatcher.ts
@@ -57,7 +57,7 @@
     return this._waiting.length
   }
 
-  public ask (call: IAdviceCall): void {
+  public dispatch (call: IAdviceCall): void {
     this._waiting.push(call)
     this.sendWaiting()
   }
--- a/src/common/cell/AdviceHosts.ts
+++ b/src/common/cell/AdviceHosts.ts
@@ -55,8 +55,8 @@
  *
  * @param isLean whether a gang names few hosts at once, since a further call costs less than many hosts
  */
-export function hostsToAsk (step: Step, hosts: Iterable<HostState>, share: number, isLean: boolean): readonly string[] {
-  const candidates = hostsNotAsked(step, hosts)
+export function chooseHostsToName (step: Step, hosts: Iterable<HostState>, share: number, isLean: boolean): readonly string[] {
+  const candidates = findUnnamedHosts(step, hosts)
   const spareFactor = isLean ? LEAN_GANG_SPARE_FACTOR : GANG_SPARE_FACTOR
   const chosen = step.spec.gang ? chooseByFreePlaces(step, candidates, share, spareFactor) : chooseByCapacity(step, candidates, share)
   return chosen.map((host) => host.hostId)
@@ -71,7 +71,7 @@
 }
 
 /** Hosts that could hold the step and that have not been named to the service for it. */
-export function hostsNotAsked (step: Step, hosts: Iterable<HostState>): HostState[] {
+export function findUnnamedHosts (step: Step, hosts: Iterable<HostState>): HostState[] {
   const { spec, job, advice } = step
   const candidates: HostState[] = []
   for (const host of hosts) {
--- a/src/common/cell/AdviceRequester.ts
+++ b/src/common/cell/AdviceRequester.ts
@@ -4,7 +4,7 @@
  */
 
 import { AdviceDispatcher, isSlowCall } from './AdviceDispatcher.js'
-import { AllowedShares, splitIntoCalls, hostsNotAsked, hostsToAsk } from './AdviceHosts.js'
+import { AllowedShares, splitIntoCalls, findUnnamedHosts, chooseHostsToName } from './AdviceHosts.js'
 import { allowedHosts } from './Placement.js'
 import { StepAdvice } from './StepAdvice.js'
 
@@ -60,14 +60,14 @@
   public ensureAdvice (step: Step): StepAdvice {
     step.advice ??= new StepAdvice()
     const { advice } = step
-    if (step.job.queue.advice === undefined || advice.isAsking) return advice
+    if (step.job.queue.advice === undefined || advice.hasCallsInFlight) return advice
     const nowMs = this._clock.nowMs()
     if (nowMs < advice.retryAtMs || nowMs < advice.nextCheckAtMs) return advice
     advice.nextCheckAtMs = nowMs + HOST_CHECK_MS
     if (!this._needsMoreHosts(step, advice, nowMs)) return advice
-    const hostIds = hostsToAsk(step, this._hosts.values(), this._shares.shareOf(step.job.queue.name), this._isLean(step))
-    if (hostIds.length > 0) this.ask(step, hostIds, () => {})
-    else advice.askedAtMs = nowMs
+    const hostIds = chooseHostsToName(step, this._hosts.values(), this._shares.shareOf(step.job.queue.name), this._isLean(step))
+    if (hostIds.length > 0) this.requestAdvice(step, hostIds, () => {})
+    else advice.lastCallAtMs = nowMs
     return advice
   }
 
@@ -91,12 +91,12 @@
     const usable = allowedHosts(step, this._hosts).filter((host) => host.isPlaceable(nowMs))
     if (usable.length === 0) return true
     if (step.spec.gang && missingPlaces(step, usable) > 0 && this._hasRoomElsewhere(step, missingPlaces(step, usable))) return true
-    return nowMs - advice.askedAtMs > WIDEN_AFTER_MS && step.tasks.some((task) => task.isIdle)
+    return nowMs - advice.lastCallAtMs > WIDEN_AFTER_MS && step.tasks.some((task) => task.isIdle)
   }
 
   /** Whether a call about further hosts is likely to give a gang the places that it lacks. */
   private _hasRoomElsewhere (step: Step, missing: number): boolean {
-    return placesOn(step, hostsNotAsked(step, this._hosts.values())) * this._shares.shareOf(step.job.queue.name) >= missing
+    return placesOn(step, findUnnamedHosts(step, this._hosts.values())) * this._shares.shareOf(step.job.queue.name) >= missing
   }
 
   /**
@@ -104,13 +104,13 @@
    *
    * @param onSettled called once, when all calls have ended
    */
-  public ask (step: Step, hostIds: readonly string[], onSettled: () => void): void {
+  public requestAdvice (step: Step, hostIds: readonly string[], onSettled: () => void): void {
     const { job, advice } = step
     if (job.queue.advice === undefined || advice === undefined) return
     const calls = splitIntoCalls(step, hostIds)
     advice.recordCalls(calls.length, this._clock.nowMs())
     for (const named of calls) {
-      this._dispatcher.ask({
+      this._dispatcher.dispatch({
         jobId: job.spec.jobId,
         step: step.number,
         hostIds: named,
@@ -120,7 +120,7 @@
         isWanted: () => !job.isFinished,
         settle: (outcome, sentAtMs) => {
           this._applyAnswer(step, advice, named, outcome, sentAtMs)
-          if (!advice.isAsking) onSettled()
+          if (!advice.hasCallsInFlight) onSettled()
           this._effects.requestPass()
         }
       })
@@ -140,7 +140,7 @@
       const validUntilMs = issuedAtMs + (job.queue.advice?.validMs ?? 0)
       advice.recordAnswer(hostIds, outcome.allowed, validUntilMs, (hostId) => this._hosts.get(hostId)?.bornMs)
     }
-    const waitMs = Math.round(nowMs - advice.askedAtMs)
+    const waitMs = Math.round(nowMs - advice.lastCallAtMs)
     this._effects.recordDuration('wait_for_advice', waitMs)
     this._effects.count('advice', outcome.kind)
     const allowed = outcome.kind === 'advised' ? outcome.allowed.length : undefined
--- a/src/common/cell/CellScheduler.ts
+++ b/src/common/cell/CellScheduler.ts
@@ -149,7 +149,7 @@
   }
 
   /** Gives up the runs of a host that has been silent for longer than any lease. Returns whether the host has no runs left. */
-  public noteSilence (host: HostState): boolean {
+  public loseRunsIfLapsed (host: HostState): boolean {
     if (!host.hasLapsed(this._clock.nowMs())) return false
     if (host.attempts.size > 0) this._holdHandler.loseAllRuns(host)
     return host.attempts.size === 0
@@ -253,9 +253,9 @@
     const { advice } = step
     if (reservation === undefined || advice === undefined || step.job.queue.advice === undefined) return
     const callMs = expectedAdviceMs(step, reservation.hosts.length) + ADVICE_AHEAD_MS
-    if (reservation.waitMs > callMs || advice.isAsking || view.nowMs < advice.retryAtMs) return
+    if (reservation.waitMs > callMs || advice.hasCallsInFlight || view.nowMs < advice.retryAtMs) return
     const expiring = reservation.hosts.filter(({ hostId, bornMs }) => advice.findTicket(hostId, bornMs, view.nowMs + callMs) === undefined)
-    if (expiring.length > 0) this._advice.ask(step, expiring.map(({ hostId }) => hostId), () => { this._runController.orderReady(step) })
+    if (expiring.length > 0) this._advice.requestAdvice(step, expiring.map(({ hostId }) => hostId), () => { this._runController.orderReady(step) })
   }
 
   private _prepareRuns (step: Step, plan: readonly IPlacement[]): void {
@@ -267,7 +267,7 @@
   /** Requests the tickets that prepared runs of the step lack. Runs that get none are dropped and placed again. */
   private _requestTickets (step: Step): void {
     const { advice } = step
-    if (step.job.queue.advice === undefined || advice === undefined || advice.isAsking) return
+    if (step.job.queue.advice === undefined || advice === undefined || advice.hasCallsInFlight) return
     const waiting = step.tasks.flatMap(({ attempt }) => attempt?.phase === 'preparing' ? [attempt] : [])
     const isMissing = (attempt: Attempt, atMs: MonotonicMs): boolean =>
       advice.findTicket(attempt.host.hostId, attempt.host.bornMs, atMs) === undefined
@@ -275,7 +275,7 @@
     // A gang needs all its tickets at once, so tickets that would expire during the call are renewed with the missing ones.
     const validAtMs = this._clock.nowMs() + (step.spec.gang ? expectedAdviceMs(step, waiting.length) : 0)
     const requested = waiting.filter((attempt) => isMissing(attempt, validAtMs))
-    this._advice.ask(step, [...new Set(requested.map((attempt) => attempt.host.hostId))], () => {
+    this._advice.requestAdvice(step, [...new Set(requested.map((attempt) => attempt.host.hostId))], () => {
       this._runController.drop(requested.filter((attempt) => isMissing(attempt, this._clock.nowMs())))
       this._runController.orderReady(step)
     })
--- a/src/common/cell/Placement.ts
+++ b/src/common/cell/Placement.ts
@@ -77,7 +77,7 @@
 /** While tickets are being requested, or shortly after a request has failed, only hosts with a valid ticket count: otherwise calls would pile up. */
 function isAdvised (advice: StepAdvice | undefined, host: HostState, nowMs: MonotonicMs): boolean {
   if (advice?.allows(host.hostId) !== true) return false
-  return (!advice.isAsking && nowMs >= advice.retryAtMs) || advice.findTicket(host.hostId, host.bornMs, nowMs) !== undefined
+  return (!advice.hasCallsInFlight && nowMs >= advice.retryAtMs) || advice.findTicket(host.hostId, host.bornMs, nowMs) !== undefined
 }
 
 /** Plans a host for each idle task for which there is one. */
--- a/src/common/cell/StepAdvice.ts
+++ b/src/common/cell/StepAdvice.ts
@@ -20,7 +20,7 @@
   private readonly _asked = new Set<string>()
   /** The number of calls in flight. */
   private _calls = 0
-  public askedAtMs: MonotonicMs = -Infinity
+  public lastCallAtMs: MonotonicMs = -Infinity
   /** No call is made before this time, set after a failed call. */
   public retryAtMs: MonotonicMs = -Infinity
   /** Whether a first answer has arrived. */
@@ -28,14 +28,14 @@
   /** When to check again whether the step needs more hosts than it may use so far. */
   public nextCheckAtMs: MonotonicMs = -Infinity
 
-  public get isAsking (): boolean {
+  public get hasCallsInFlight (): boolean {
     return this._calls > 0
   }
 
   /** Records that calls were made. */
   public recordCalls (calls: number, nowMs: MonotonicMs): void {
     this._calls += calls
-    this.askedAtMs = nowMs
+    this.lastCallAtMs = nowMs
   }
 
   /** Records that a call has ended, with an answer or without. */
--- a/src/common/membership/NewsQueue.ts
+++ b/src/common/membership/GossipQueue.ts
@@ -5,7 +5,7 @@
 
 import type { IMemberNews } from '../protocol/Types.js'
 
-export class NewsQueue {
+export class GossipQueue {
   private readonly _sendsLeft = new Map<string, number>()
 
   public get size (): number {
--- a/src/common/membership/LinkWatch.ts
+++ b/src/common/membership/LinkWatch.ts
@@ -67,7 +67,7 @@
    * all members, and one bad cable would cause traffic in the whole cell. The delay doubles with each loss until a
    * link has lasted for `steadyLinkMs`.
    */
-  public takeDueLosses (awakeMs: number): readonly IProcessIdentity[] {
+  public collectDueLosses (awakeMs: number): readonly IProcessIdentity[] {
     const due: IProcessIdentity[] = []
     for (const [processId, link] of this._links) {
       if (link.isUp || link.isReported || awakeMs - link.sinceMs < this._reportDelayMs(link)) continue
--- a/src/common/membership/MemberGossip.ts
+++ b/src/common/membership/MemberGossip.ts
@@ -8,7 +8,7 @@
 import { ByteBudget } from './ByteBudget.js'
 import { CastBuilder } from './CastBuilder.js'
 import type { MemberView, MergeResult } from './MemberView.js'
-import { NewsQueue } from './NewsQueue.js'
+import { GossipQueue } from './GossipQueue.js'
 import type { IMembershipOptions } from './Options.js'
 import { comparePrecedence } from './Precedence.js'
 import { BUCKET_COUNT, bucketOf } from './ViewDigest.js'
@@ -17,7 +17,7 @@
 export type OwnNewsHandler = (news: IMemberNews) => void
 
 export class MemberGossip {
-  private readonly _queue = new NewsQueue()
+  private readonly _queue = new GossipQueue()
   private readonly _budget: ByteBudget
   /** Times of the requests for missing records, by process id. The fresh news that caused a request is spread once the record arrives. */
   private readonly _requestedAtMs = new Map<string, number>()
--- a/src/common/membership/Membership.ts
+++ b/src/common/membership/Membership.ts
@@ -146,8 +146,8 @@
   /** Must be called every `gossipMs`. Updates the states of unreachable members and returns the casts of this round. */
   public tick (): readonly IOutgoingCast[] {
     this._awakeClock.tick()
-    for (const peer of this._links.takeDueLosses(this._awakeClock.awakeMs)) this._onLinkLossDue(peer)
-    for (const member of this._store.takeAbsent(this._awakeClock.awakeMs)) this._suspect(member)
+    for (const peer of this._links.collectDueLosses(this._awakeClock.awakeMs)) this._onLinkLossDue(peer)
+    for (const member of this._store.collectAbsent(this._awakeClock.awakeMs)) this._suspect(member)
     this._applyDeadlines()
     return this._buildRound()
   }
--- a/src/common/membership/StoreWatch.ts
+++ b/src/common/membership/StoreWatch.ts
@@ -48,7 +48,7 @@
    * their records are missing. If this counted at once, the whole cell would be suspect at the end of each outage. So a
    * missing record counts only after the store has been reachable for long enough for members to register again.
    */
-  public takeAbsent (awakeMs: number): readonly IMember[] {
+  public collectAbsent (awakeMs: number): readonly IMember[] {
     if (this._reachableSinceMs === undefined || awakeMs - this._reachableSinceMs < this._trustMs) return []
     const absent = [...this._absent.values()]
     this._absent.clear()
--- a/src/common/state/ShardOwnership.ts
+++ b/src/common/state/ShardOwnership.ts
@@ -118,7 +118,7 @@
    * Whether this process may take the shard over: the recorded owner is gone, has restarted or has released it, or is this
    * process, which no longer knows that it owns the shard.
    */
-  public canTake (isAlive: (owner: IOwner) => boolean): boolean {
+  public canTakeOver (isAlive: (owner: IOwner) => boolean): boolean {
     if (this._state !== 'absent') return false
     const owner = this.owner
     return owner === undefined || this._isSelf(owner) || !isAlive(owner)
--- a/src/daemon/ControllerDaemon.ts
+++ b/src/daemon/ControllerDaemon.ts
@@ -131,7 +131,7 @@
     const route = new OwnerRoute(hub, {
       get record () { return ownership.record },
       local: () => this._owner,
-      challenge: async (from, ownerReaches) => await challenge.challenge(from, ownerReaches)
+      challenge: async (from, checkOwnerReachesStore) => await challenge.challenge(from, checkOwnerReachesStore)
     }, this._clock)
     this._route = route
     this._resolveRoute(route)
--- a/src/daemon/ShardOwnershipSubsystem.ts
+++ b/src/daemon/ShardOwnershipSubsystem.ts
@@ -29,7 +29,7 @@
   /** Takes over the accepted jobs of an id shard that this process has acquired. */
   takeOver (shardId: string, epoch: number, jobs: readonly IJobSpec[]): void
   /** Gives up an id shard that this process has lost. */
-  drop (shardId: string): void
+  removeShard (shardId: string): void
 }
 
 export class ShardOwnershipSubsystem {
@@ -111,8 +111,8 @@
   private _handleLost ({ shardId, kind, epoch, reason }: IShardLost, listener: IIdShardListener): void {
     this._core.log.info('shard.lost', { shardId, epoch, reason })
     if (kind !== 'ids') return
-    listener.drop(shardId)
-    this.claims.drop(shardId)
+    listener.removeShard(shardId)
+    this.claims.removeShard(shardId)
   }
 
   private _createRegistration (operatorUrl: string): MemberRegistration {
--- a/src/scheduler/jobs/JobOwner.ts
+++ b/src/scheduler/jobs/JobOwner.ts
@@ -70,14 +70,14 @@
 
   /** Takes over an id shard with its accepted jobs that haven't ended. */
   public takeOver (idShard: string, epoch: number, jobs: readonly IJobSpec[]): void {
-    this.drop(idShard)
+    this.removeShard(idShard)
     this._surveys.set(idShard, this._createSurvey(idShard, epoch))
     for (const job of jobs) this._createRun(job, epoch).markRecovered(this._context.clock.nowMs())
     this._surveys.get(idShard)?.runIfDue()
   }
 
   /** Gives up an id shard that this process has lost; its jobs continue under the next owner. */
-  public drop (idShard: string): void {
+  public removeShard (idShard: string): void {
     this._surveys.delete(idShard)
     for (const jobId of [...this._runs.keys()]) {
       if (this._context.idShardOf(jobId) === idShard) this._runs.delete(jobId)
--- a/src/scheduler/jobs/Reservations.ts
+++ b/src/scheduler/jobs/Reservations.ts
@@ -75,7 +75,7 @@
     this._context.engine.dropReservation(groupIdOf(ref.jobId, tryNumber))
     for (const { jobId, task, attempt } of tasks) this._tasks.cancel({ jobId, taskId: task.taskId, attempt })
     this._storeTry(ref.jobId, tryNumber, [])
-    this._tasks.runner.pump()
+    this._tasks.runner.carryOutDecisions()
     return { dropped: true }
   }
 
--- a/src/scheduler/jobs/TaskRunner.ts
+++ b/src/scheduler/jobs/TaskRunner.ts
@@ -44,7 +44,7 @@
   }
 
   /** Carries out the engine's decisions until it has none left for now. */
-  public pump (): void {
+  public carryOutDecisions (): void {
     for (let decision = this._context.engine.next(); decision !== undefined; decision = this._context.engine.next()) {
       this._carryOut(decision)
     }
@@ -109,7 +109,7 @@
     }
     this._context.engine.recordEnd(task.itemId, ENGINE_END[outcome], this._context.clock.nowMs() - task.startedAtMs)
     this.endTask(task, state)
-    this.pump()
+    this.carryOutDecisions()
   }
 
   public onNotStarted (_hostId: string, attempt: IAttempt): void {
@@ -117,7 +117,7 @@
     if (task === undefined) return
     this._context.engine.recordEnd(task.itemId, 'refused', 0)
     this.endTask(task, 'stopped')
-    this.pump()
+    this.carryOutDecisions()
   }
 
   public onUsage (attempt: IAttempt, usage: IResources): void {
@@ -133,7 +133,7 @@
   }
 
   public onCapacity (): void {
-    this.pump()
+    this.carryOutDecisions()
   }
 
   private _carryOut (decision: EngineDecision): void {
@@ -174,7 +174,7 @@
   private _scheduleWake (): void {
     this._wakeTimer?.dispose()
     const delayMs = this._context.engine.nextWakeAtMs() - this._context.clock.nowMs()
-    this._wakeTimer = Number.isFinite(delayMs) ? this._context.timers.after(Math.max(0, delayMs), () => { this.pump() }) : undefined
+    this._wakeTimer = Number.isFinite(delayMs) ? this._context.timers.after(Math.max(0, delayMs), () => { this.carryOutDecisions() }) : undefined
   }
 }
 
--- a/src/scheduler/jobs/TaskService.ts
+++ b/src/scheduler/jobs/TaskService.ts
@@ -50,7 +50,7 @@
     const decision = this._context.engine.admit(item)
     if (!decision.admitted) return { accepted: false, reason: decision.reason, retryAfterMs: decision.retryAfterMs }
     this.holdTask(request, item)
-    this.runner.pump()
+    this.runner.carryOutDecisions()
     return { accepted: true }
   }
 
@@ -66,7 +66,7 @@
     const decision = this._context.engine.admitGroup(groupIdOf(request), found)
     if (!decision.admitted) return { accepted: false, reason: decision.reason, retryAfterMs: decision.retryAfterMs }
     request.tasks.forEach((task, index) => { this.holdTask(task, found[index] as IWorkItem) })
-    this.runner.pump()
+    this.runner.carryOutDecisions()
     return { accepted: true }
   }
 
--- a/src/scheduler/jobs/index.ts
+++ b/src/scheduler/jobs/index.ts
@@ -19,7 +19,7 @@
  *
  *     onAcquired, kind 'ids':  const live = await claims.takeOver(shardId, epoch)
  *                              jobs.takeOver(shardId, epoch, live.value); owner.ready(shardId, epoch)
- *     onLost, kind 'ids':      jobs.drop(shardId); claims.drop(shardId)
+ *     onLost, kind 'ids':      jobs.removeShard(shardId); claims.removeShard(shardId)
  *     planned stop:            tasks.drain(), then release the shards; running tasks continue under their next owner
  *     end:                     jobs.dispose(); pool.dispose(); tasks.dispose()
  *     dump:                    jobs.dump(), pool.dump(), taskEngine.dump()
--- a/src/scheduler/ownership/ClaimService.ts
+++ b/src/scheduler/ownership/ClaimService.ts
@@ -85,7 +85,7 @@
    * newer owner has written the log, or the shard was dropped in the meantime.
    */
   public async takeOver (shardId: string, epoch: number): Promise<Result<readonly IJobSpec[], RecoveryError>> {
-    this.drop(shardId)
+    this.removeShard(shardId)
     const claimant = { shardId, owner: this._options.owner, epoch }
     const recovery = new SliceRecovery(this._store, this._clock, claimant, this._nonce, this._options.retryMs)
     this._recoveries.set(shardId, recovery)
@@ -97,7 +97,7 @@
   }
 
   /** Stops serving a shard that has been lost. Callers that wait for a commit are answered `notOwner`. */
-  public drop (shardId: string): void {
+  public removeShard (shardId: string): void {
     this._recoveries.get(shardId)?.cancel()
     this._recoveries.delete(shardId)
     const owned = this._slices.get(shardId)
@@ -109,7 +109,7 @@
   public async close (shardId: string): Promise<void> {
     const owned = this._slices.get(shardId)
     await owned?.slice.flush()
-    if (this._slices.get(shardId) === owned) this.drop(shardId)
+    if (this._slices.get(shardId) === owned) this.removeShard(shardId)
   }
 
   /** Whether this process serves the shard. It already does while it takes the log over, and answers `unavailable` meanwhile. */
@@ -150,7 +150,7 @@
   }
 
   public dispose (): void {
-    for (const shardId of [...this._slices.keys(), ...this._recoveries.keys()]) this.drop(shardId)
+    for (const shardId of [...this._slices.keys(), ...this._recoveries.keys()]) this.removeShard(shardId)
     this._disposables.dispose()
   }
 
@@ -176,7 +176,7 @@
   }
 
   private _handleLost (shardId: string, epoch: number): void {
-    this.drop(shardId)
+    this.removeShard(shardId)
     this._onLost.fire({ shardId, epoch })
   }
 
--- a/src/scheduler/ownership/ShardOwner.ts
+++ b/src/scheduler/ownership/ShardOwner.ts
@@ -240,7 +240,7 @@
     for (const shard of this._shards.all()) {
       if (this._pendingTakeovers >= this._options.maxConcurrentTakeovers) return
       const isProposed = proposal.get(shard.spec.shardId) === this._member.entry.processId
-      if (isProposed && !shard.damaged && shard.ownership.canTake((owner) => this.members.isAlive(owner))) this._takeOver(shard)
+      if (isProposed && !shard.damaged && shard.ownership.canTakeOver((owner) => this.members.isAlive(owner))) this._takeOver(shard)
     }
   }
 
--- a/src/scheduler/ownership/index.ts
+++ b/src/scheduler/ownership/index.ts
@@ -23,7 +23,7 @@
  *       owner.markReady(shardId, epoch)
  *     })
  *     owner.onLost(({ shardId, kind }) => {
- *       if (kind === 'ids') claims.drop(shardId)
+ *       if (kind === 'ids') claims.removeShard(shardId)
  *       else dropHosts(shardId)
  *     })
  *     claims.onLost(({ shardId, epoch }) => { owner.reportFenced(shardId, epoch + 1) })
--- a/src/scheduler/requests/RequestService.ts
+++ b/src/scheduler/requests/RequestService.ts
@@ -37,9 +37,9 @@
     this._dispatcher = new Dispatcher(_context, {
       onAnswer: (attemptId, answer) => this._finish(attemptId, answer),
       onRequeue: (item) => this._requeue(item),
-      onSlotFree: () => this.pump()
+      onSlotFree: () => this.carryOutDecisions()
     })
-    _context.runners.onChange(() => this.pump())
+    _context.runners.onChange(() => this.carryOutDecisions())
   }
 
   public get inFlight (): number {
@@ -116,7 +116,7 @@
   }
 
   /** Carries out the engine's decisions until it has none left for now. */
-  public pump (): void {
+  public carryOutDecisions (): void {
     for (let decision = this._context.engine.next(); decision !== undefined; decision = this._context.engine.next()) {
       this._carryOut(decision)
     }
@@ -140,7 +140,7 @@
   private _scheduleWake (): void {
     this._wakeTimer?.dispose()
     const delayMs = this._context.engine.nextWakeAtMs() - this._context.clock.nowMs()
-    this._wakeTimer = Number.isFinite(delayMs) ? this._context.timers.after(Math.max(0, delayMs), () => this.pump()) : undefined
+    this._wakeTimer = Number.isFinite(delayMs) ? this._context.timers.after(Math.max(0, delayMs), () => this.carryOutDecisions()) : undefined
   }
 
   private _refuseEarly (request: ISubmitRequest): IFinalAnswer | undefined {
@@ -191,7 +191,7 @@
     if (!decision.admitted) return this._refusedAnswer(decision.reason, decision.detail, decision.retryAfterMs)
     return await new Promise<IFinalAnswer>((resolve) => {
       this._pending.set(arrival.request.attemptId, { ...arrival, item, resolve })
-      this.pump()
+      this.carryOutDecisions()
     })
   }
 
@@ -229,7 +229,7 @@
     else if (!decision.admitted) {
       this._finish(attemptId, { outcome: 'notRun', reason: decision.reason, detail: decision.detail, retryAfterMs: decision.retryAfterMs })
     }
-    this.pump()
+    this.carryOutDecisions()
   }
 
   private _finish (attemptId: string, answer: IFinalAnswer): void {
--- a/test/support/JobsCell.ts
+++ b/test/support/JobsCell.ts
@@ -108,7 +108,7 @@
     const epoch = this.owned.get(shardId)
     if (epoch === undefined) return
     this.owned.delete(shardId)
-    if (shardId === ID_SHARD) this.jobs.drop(shardId)
+    if (shardId === ID_SHARD) this.jobs.removeShard(shardId)
     else this.shardLost.fire({ shardId, epoch })
     this._cell.publishSummaries()
   }
--- a/test/support/SimulatedCell.ts
+++ b/test/support/SimulatedCell.ts
@@ -204,7 +204,7 @@
       const nowMs = this.clock.nowMs()
       const deadlineMs = state.nextDeadline(nowMs, MAX_HOLD_MS, Infinity)
       const answer = host.hold({ fence: this._fence, acknowledgedSequence: state.storedSequence, deadlineMs, waitMs: 0 })
-      if (answer === undefined || answer === 'fenced') this.scheduler.noteSilence(state)
+      if (answer === undefined || answer === 'fenced') this.scheduler.loseRunsIfLapsed(state)
       else this.scheduler.applyHoldAnswer(state, answer, nowMs)
     }
   }
