--- a/src/cell/JobStore.test.ts
+++ b/src/cell/JobStore.test.ts
@@ -1,10 +1,10 @@
 /**
- * Jobs on their way to a store whose answers take as long as the test says.
+ * Writes of jobs to a store whose latency the test sets.
  */
 
 import test from 'ava'
 import { Job } from '../common/cell/Job.js'
-import { EMPTY_STEP } from '../common/cell/JobRecord.js'
+import { DEFAULT_STEP } from '../common/cell/JobRecord.js'
 import { ManualClock } from '../common/Clock.js'
 import { SilentLogger } from '../common/observability/SilentLogger.js'
 import { settle } from '../../test/support/advance.js'
@@ -25,7 +25,7 @@
     revision += 1
     return { kind: 'committed', revision }
   }
-  const options = { ownerRevision: 5, writerId: 'me', laneRevisions: new Map<string, number>(), storeAnswerMs: answerMs }
+  const options = { ownerRevision: 5, writerId: 'me', laneRevisions: new Map<string, number>(), storeLatencyMs: answerMs }
   const store = new JobStore({ commit } as unknown as IMetadataStore, options, clock, new SilentLogger(), () => {})
   const run = async (ms: number): Promise<void> => {
     for (let passedMs = 0; passedMs < ms; passedMs += 5) {
@@ -36,7 +36,7 @@
   let jobs = 0
   const job = (): Job => {
     jobs += 1
-    const spec = { jobId: jobs.toString(16).padStart(16, '0'), description: '', occurrences: 0, steps: [{ ...EMPTY_STEP, count: 1 }] }
+    const spec = { jobId: jobs.toString(16).padStart(16, '0'), description: '', occurrences: 0, steps: [{ ...DEFAULT_STEP, count: 1 }] }
     return new Job(spec, QUEUE, clock.nowMs())
   }
   return { clock, store, run, job, transactions }
@@ -61,7 +61,7 @@
 })
 
 test('writes of one job never overtake each other', async (t) => {
-  // Old progress over newer made the next owner start tasks that were done.
+  // If older progress overwrote newer progress, the next owner would start tasks that are done.
   const { store, run, job, transactions } = setUp(300)
   const written = job()
   store.accept(written).catch(() => {})
@@ -79,7 +79,7 @@
 })
 
 test('a burst of urgent jobs is accepted within one answer of a store that has become slow', async (t) => {
-  // Each write that found no room in a transaction waited for one more answer, and urgent jobs were late beside free hosts.
+  // A write that does not fit into a transaction waits for one more answer, and urgent jobs would be late although hosts are free.
   const answerMs = 300
   const { clock, store, run, job } = setUp(answerMs)
   const waitsMs: number[] = []
@@ -101,5 +101,5 @@
   await run(3000)
   t.is(waitsMs.length, 400)
   waitsMs.sort((a, b) => a - b)
-  t.true((waitsMs[380] ?? Infinity) <= 1.5 * answerMs, `of 400 jobs 20 waited for more than ${waitsMs[380]} ms`)
+  t.true((waitsMs[380] ?? Infinity) <= 1.5 * answerMs, `20 of 400 jobs waited for at least ${waitsMs[380]} ms`)
 })
--- /dev/null
+++ b/src/common/cell/AdviceRequester.ts
@@ -0,0 +1,166 @@
+/**
+ * Requests advice for steps: when to call the service, for which hosts, and when to call again because the allowed hosts don't
+ * suffice.
+ */
+
+import { AdviceDispatcher, isSlowCall } from './AdviceDispatcher.js'
+import { AllowedShares, splitIntoCalls, findUnnamedHosts, chooseHostsToName } from './AdviceHosts.js'
+import { allowedHosts } from './Placement.js'
+import { StepAdvice } from './StepAdvice.js'
+
+import type { ILogger } from '../observability/Types.js'
+import type { IClock, MonotonicMs } from '../Types.js'
+import type { IAdviceSender } from './AdviceDispatcher.js'
+import type { HostState } from './HostState.js'
+import type { Step } from './Job.js'
+import type { AdviceOutcome, ITicket } from './Types.js'
+
+export interface IAdviceEffects extends IAdviceSender {
+  /** Requests a scheduling pass soon. */
+  requestPass (): void
+  recordDuration (name: string, ms: number): void
+  count (name: string, kind: string): void
+}
+
+/** How long after a failed call the advice for a step is requested again, in ms. */
+const ADVICE_RETRY_MS = 300
+/** How often a waiting step checks whether it may use enough hosts, in ms: each check iterates over all hosts. */
+const HOST_CHECK_MS = 100
+/** A step that has found no room on its allowed hosts for this long asks for more hosts, in ms: two calls of the slowest kind. */
+const WIDEN_AFTER_MS = 2000
+
+export class AdviceRequester {
+  private readonly _shares = new AllowedShares()
+  private readonly _dispatcher: AdviceDispatcher
+
+  public constructor (
+    private readonly _hosts: ReadonlyMap<string, HostState>,
+    private readonly _effects: IAdviceEffects,
+    private readonly _clock: IClock,
+    private readonly _log: ILogger
+  ) {
+    this._dispatcher = new AdviceDispatcher(_effects, _clock)
+  }
+
+  /** The number of calls that wait for a machine that may make them. */
+  public get waitingCount (): number {
+    return this._dispatcher.waitingCount
+  }
+
+  /** Sends the calls that can be sent. To be called when machines come or go. */
+  public sendWaiting (): void {
+    this._dispatcher.sendWaiting()
+  }
+
+  public dispose (): void {
+    this._dispatcher.dispose()
+  }
+
+  /** Returns the step's advice, and requests it if there is none yet or it allows too few hosts. */
+  public ensureAdvice (step: Step): StepAdvice {
+    step.advice ??= new StepAdvice()
+    const { advice } = step
+    if (step.job.queue.advice === undefined || advice.hasCallsInFlight) return advice
+    const nowMs = this._clock.nowMs()
+    if (nowMs < advice.retryAtMs || nowMs < advice.nextCheckAtMs) return advice
+    advice.nextCheckAtMs = nowMs + HOST_CHECK_MS
+    if (!this._needsMoreHosts(step, advice, nowMs)) return advice
+    const hostIds = chooseHostsToName(step, this._hosts.values(), this._shares.shareOf(step.job.queue.name), this._isLean(step))
+    if (hostIds.length > 0) this.requestAdvice(step, hostIds, () => {})
+    else advice.lastCallAtMs = nowMs
+    return advice
+  }
+
+  /**
+   * Whether a gang should name few hosts in a call: each call costs the owner processor time, while a round of slow calls takes a
+   * good part of an objective.
+   */
+  private _isLean (step: Step): boolean {
+    return this._dispatcher.waitingCount > 0 || !isSlowCall(expectedAdviceMs(step, 1))
+  }
+
+  /** Counts only hosts that were named for the first time, since renewed tickets are for hosts known to be allowed. */
+  private _recordShare (queue: string, named: readonly string[], allowed: readonly ITicket[]): void {
+    const ids = new Set(named)
+    this._shares.record(queue, named.length, allowed.filter(({ hostId }) => ids.has(hostId)).length)
+  }
+
+  /** Whether the hosts allowed so far can't run the step, or have had no room for it for a while. */
+  private _needsMoreHosts (step: Step, advice: StepAdvice, nowMs: MonotonicMs): boolean {
+    if (!advice.hasAnswer) return true
+    const usable = allowedHosts(step, this._hosts).filter((host) => host.isPlaceable(nowMs))
+    if (usable.length === 0) return true
+    if (step.spec.gang && missingPlaces(step, usable) > 0 && this._hasRoomElsewhere(step, missingPlaces(step, usable))) return true
+    return nowMs - advice.lastCallAtMs > WIDEN_AFTER_MS && step.tasks.some((task) => task.isIdle)
+  }
+
+  /** Whether a call about further hosts is likely to give a gang the places that it lacks. */
+  private _hasRoomElsewhere (step: Step, missing: number): boolean {
+    return placesOn(step, findUnnamedHosts(step, this._hosts.values())) * this._shares.shareOf(step.job.queue.name) >= missing
+  }
+
+  /**
+   * Requests advice for the given hosts.
+   *
+   * @param onSettled called once, when all calls have ended
+   */
+  public requestAdvice (step: Step, hostIds: readonly string[], onSettled: () => void): void {
+    const { job, advice } = step
+    if (job.queue.advice === undefined || advice === undefined) return
+    const calls = splitIntoCalls(step, hostIds)
+    advice.recordCalls(calls.length, this._clock.nowMs())
+    for (const named of calls) {
+      this._dispatcher.dispatch({
+        jobId: job.spec.jobId,
+        step: step.number,
+        hostIds: named,
+        priority: job.queue.priority,
+        dueMs: job.dueMs,
+        expectedMs: expectedAdviceMs(step, named.length),
+        isWanted: () => !job.isFinished,
+        settle: (outcome, sentAtMs) => {
+          this._applyAnswer(step, advice, named, outcome, sentAtMs)
+          if (!advice.hasCallsInFlight) onSettled()
+          this._effects.requestPass()
+        }
+      })
+    }
+  }
+
+  private _applyAnswer (step: Step, advice: StepAdvice, hostIds: readonly string[], outcome: AdviceOutcome, sentAtMs?: MonotonicMs): void {
+    const { job } = step
+    const nowMs = this._clock.nowMs()
+    advice.recordCallEnd()
+    if (outcome.kind !== 'advised') advice.retryAtMs = nowMs + ADVICE_RETRY_MS
+    if (outcome.kind === 'advised') {
+      this._recordShare(job.queue.name, hostIds.filter((hostId) => !advice.wasAsked(hostId)), outcome.allowed)
+      // The validity starts when the service issued the ticket: counted from the arrival of a delayed answer, the ticket would be
+      // used after its expiry.
+      const issuedAtMs = Math.min(nowMs, (sentAtMs ?? nowMs) + expectedAdviceMs(step, hostIds.length))
+      const validUntilMs = issuedAtMs + (job.queue.advice?.validMs ?? 0)
+      advice.recordAnswer(hostIds, outcome.allowed, validUntilMs, (hostId) => this._hosts.get(hostId)?.bornMs)
+    }
+    const waitMs = Math.round(nowMs - advice.lastCallAtMs)
+    this._effects.recordDuration('wait_for_advice', waitMs)
+    this._effects.count('advice', outcome.kind)
+    const allowed = outcome.kind === 'advised' ? outcome.allowed.length : undefined
+    this._log.info('advice.answered', { requestId: job.spec.jobId, step: String(step.number), outcome: outcome.kind, allowed, hosts: hostIds.length, waitMs })
+  }
+}
+
+/** How long the service takes for a call that names this number of hosts. */
+export function expectedAdviceMs (step: Step, hosts: number): number {
+  const terms = step.job.queue.advice
+  return terms === undefined ? 0 : terms.baseMs + terms.perHostMs * hosts
+}
+
+function missingPlaces (step: Step, hosts: readonly HostState[]): number {
+  return step.spec.count - placesOn(step, hosts)
+}
+
+/** How many tasks of the step fit on the hosts now. */
+function placesOn (step: Step, hosts: readonly HostState[]): number {
+  let places = 0
+  for (const host of hosts) places += host.placesFor(step.spec)
+  return places
+}
--- /dev/null
+++ b/src/common/cell/CapacityReservations.ts
@@ -0,0 +1,95 @@
+/**
+ * Reserves capacity for waiting gangs (steps whose tasks start all at once).
+ *
+ * Without it, capacity that becomes free in small pieces is taken by narrow tasks immediately, and gangs never start in a cell
+ * that is four fifths full. So waiting gangs reserve capacity on the hosts where it will become free soonest, and work behind
+ * them can't use it. Reserved capacity is idle, so its amount is limited. Capacity reserved for a gang that can no longer
+ * meet its objective is available to work that still can and has waited for long: otherwise all work behind such a gang would be
+ * late, too.
+ */
+
+import type { HostState } from './HostState.js'
+import { forecastPlaceTimes } from './HostForecast.js'
+import type { Step } from './Job.js'
+import { eligibleHosts } from './Placement.js'
+import type { IPlacementView } from './Placement.js'
+import { NO_RESOURCES, addResources, resourcesOf } from './Resources.js'
+import type { IResources } from './Resources.js'
+
+/** Capacity that becomes free later than this, in ms, is not reserved: about the run time of the longest usual tasks. */
+const HORIZON_MS = 5000
+/** The share of all hosts' processors that waiting gangs may reserve together. Much of it is still in use. */
+const MAX_RESERVED_SHARE = 0.4
+
+interface IPlace {
+  readonly host: HostState
+  readonly waitMs: number
+}
+
+/** The hosts on which a gang will find room, and how long that will take. */
+export interface IReservation {
+  readonly hosts: readonly HostState[]
+  readonly waitMs: number
+}
+
+export class CapacityReservations {
+  private readonly _reserved = new Map<HostState, IResources>()
+  private readonly _reservedForLate = new Map<HostState, IResources>()
+  private _leftMillicores: number
+
+  public constructor (hosts: Iterable<HostState>) {
+    let total = 0
+    for (const host of hosts) total += host.entry.cpuMillicores
+    this._leftMillicores = total * MAX_RESERVED_SHARE
+  }
+
+  /**
+   * The resources that work behind the gangs has to leave free on the host.
+   *
+   * @param isAtRisk whether the work may use what is reserved for late gangs
+   */
+  public reservedOn (host: HostState, isAtRisk: boolean): IResources {
+    const reserved = this._reserved.get(host) ?? NO_RESOURCES
+    return isAtRisk ? reserved : addResources(reserved, this._reservedForLate.get(host) ?? NO_RESOURCES)
+  }
+
+  public hasReservation (host: HostState): boolean {
+    return this._reserved.has(host) || this._reservedForLate.has(host)
+  }
+
+  /** Reserves resources for a gang that couldn't be placed. Returns where and when it will have room for all its tasks, if that can be forecast. */
+  public reserve (step: Step, view: IPlacementView, isLate: boolean): IReservation | undefined {
+    const { spec } = step
+    if (this._leftMillicores <= 0) return undefined
+    const hosts = eligibleHosts(step, view)
+    if (!fitsWhenEmpty(step, hosts)) return undefined
+    const places = soonestPlaces(step, hosts, view)
+    const reserved = isLate ? this._reservedForLate : this._reserved
+    for (const { host } of places) this._addReservation(reserved, host, resourcesOf(spec))
+    const last = places.at(-1)
+    if (last === undefined || places.length < spec.count) return undefined
+    return { hosts: [...new Set(places.map(({ host }) => host))], waitMs: last.waitMs }
+  }
+
+  private _addReservation (reserved: Map<HostState, IResources>, host: HostState, resources: IResources): void {
+    reserved.set(host, addResources(reserved.get(host) ?? NO_RESOURCES, resources))
+    this._leftMillicores -= resources.cpuMillicores
+  }
+}
+
+/**
+ * Whether the gang would fit if the hosts were empty. Reserving capacity for a gang that is too wide for the few hosts it may use
+ * would leave these hosts idle for ever, with work waiting beside them.
+ */
+export function fitsWhenEmpty (step: Step, hosts: Iterable<HostState>): boolean {
+  let places = 0
+  for (const host of hosts) places += host.capacityFor(step.spec)
+  return places >= step.spec.count
+}
+
+/** The places that become free soonest: as many as the gang needs, or all within the horizon. */
+function soonestPlaces (step: Step, hosts: readonly HostState[], view: IPlacementView): readonly IPlace[] {
+  const places = hosts.flatMap((host) =>
+    forecastPlaceTimes(host, step.spec, view.headroom(host, step), view.nowMs, HORIZON_MS).map((waitMs) => ({ host, waitMs })))
+  return places.sort((a, b) => a.waitMs - b.waitMs).slice(0, step.spec.count)
+}
--- a/src/common/policy/Admission.test.ts
+++ b/src/common/policy/Admission.test.ts
@@ -1,20 +1,20 @@
 import test from 'ava'
 
-import { decisions, engineWith, host, profile, work } from '../../../test/policy/TestWork.js'
+import { takeDecisions, createEngine, host, profile, work } from '../../../test/policy/TestWork.js'
 
 import type { AdmitDecision, IWorkItem } from './Types.js'
 
 const SERVICE_MS = 100
 
 /** A host of one slot that always has work, so that the drain rate is ten requests a second. */
-function busyEngine (): { admit: (id: string, caller?: string) => AdmitDecision, pass: (ms: number) => void, given: string[] } {
-  const { clock, engine } = engineWith('slots', host('h1', { cores: 1, memoryBytes: 0, accelerators: 0 }))
-  const given: string[] = []
+function busyEngine (): { admit: (id: string, caller?: string) => AdmitDecision, advance: (ms: number) => void, givenUp: string[] } {
+  const { clock, engine } = createEngine('slots', host('h1', { cores: 1, memoryBytes: 0, accelerators: 0 }))
+  const givenUp: string[] = []
   let running: IWorkItem | undefined
   let endsAtMs = 0
-  const carryOut = (): void => {
-    for (const decision of decisions(engine)) {
-      if (decision.type === 'giveUp') given.push(decision.item.id)
+  const applyDecisions = (): void => {
+    for (const decision of takeDecisions(engine)) {
+      if (decision.type === 'giveUp') givenUp.push(decision.item.id)
       if (decision.type !== 'place') continue
       running = decision.item
       endsAtMs = clock.nowMs() + SERVICE_MS
@@ -23,77 +23,79 @@
   const admit = (id: string, caller = 'caller'): AdmitDecision => {
     const arrivedAtMs = clock.nowMs()
     const decision = engine.admit(work(id, { caller, profile: profile({ deadlineMs: 2_000 }), arrivedAtMs, deadlineAtMs: arrivedAtMs + 2_000 }))
-    carryOut()
+    applyDecisions()
     return decision
   }
-  const pass = (ms: number): void => {
+  const advance = (ms: number): void => {
     for (let i = 0; i < ms; i += 10) {
       clock.advance(10)
       if (running !== undefined && clock.nowMs() >= endsAtMs) {
         const { id } = running
         running = undefined
-        engine.finished(id, 'succeeded', SERVICE_MS)
+        engine.recordEnd(id, 'succeeded', SERVICE_MS)
       }
-      carryOut()
+      applyDecisions()
     }
   }
-  return { admit, pass, given }
+  return { admit, advance, givenUp }
 }
 
 /*
- * Requests arrive at several times the rate at which the host serves them. Callers would wait until their deadlines and get nothing;
- * instead the surplus is refused at once, and whoever is let in is served in time.
+ * Requests arrive at several times the rate at which the host serves them. If all were queued, callers would wait until
+ * their deadlines without an answer; instead the surplus is refused at once and the admitted requests are served in
+ * time.
  */
-test('the surplus is refused at once and what is admitted is served in time', (t) => {
-  const { admit, pass, given } = busyEngine()
+test('surplus requests are refused at once and admitted requests are served in time', (t) => {
+  const { admit, advance, givenUp } = busyEngine()
   let refused = 0
   for (let i = 0; i < 200; i++) {
     if (!admit(`r${i}`).admitted) refused += 1
-    pass(30)
+    advance(30)
   }
   t.true(refused > 100 && refused < 150, `${refused} of 200 refused`)
-  t.deepEqual(given, [])
+  t.deepEqual(givenUp, [])
 })
 
 /*
- * The same, but each request comes from another caller. None of them has a backlog of its own, and yet together they are far too many.
+ * As above, but each request comes from another caller. No caller has a backlog of its own, yet together they exceed
+ * the capacity.
  */
-test('the surplus is refused, too, when each request is of another caller', (t) => {
-  const { admit, pass, given } = busyEngine()
+test('surplus requests are also refused when each comes from another caller', (t) => {
+  const { admit, advance, givenUp } = busyEngine()
   let refused = 0
   for (let i = 0; i < 200; i++) {
     if (!admit(`r${i}`, `caller-${i}`).admitted) refused += 1
-    pass(30)
+    advance(30)
   }
   t.true(refused > 100 && refused < 150, `${refused} of 200 refused`)
-  t.deepEqual(given, [])
+  t.deepEqual(givenUp, [])
 })
 
 /*
- * A refused caller does as told and comes back later, while new callers keep arriving. If the room went to the newcomers, the same
- * caller would be refused again each time, however often it returned.
+ * A refused caller returns at its retry time while new callers keep arriving. If the capacity went to the new callers,
+ * the same caller would be refused on each return.
  */
-test('a refused request that comes back when told to is admitted', (t) => {
-  const { admit, pass } = busyEngine()
-  const due: { readonly id: string, readonly atMs: number }[] = []
+test('a refused request that returns at its retry time is admitted', (t) => {
+  const { admit, advance } = busyEngine()
+  const retries: { readonly id: string, readonly atMs: number }[] = []
   let nowMs = 0
-  let met = 0
+  let admitted = 0
   let returned = 0
   for (let i = 0; i < 600; i++) {
     const decision = i < 200 ? admit(`r${i}`) : undefined
-    if (decision?.admitted === false) due.push({ id: `r${i}`, atMs: nowMs + decision.retryAfterMs })
-    pass(30)
+    if (decision?.admitted === false) retries.push({ id: `r${i}`, atMs: nowMs + decision.retryAfterMs })
+    advance(30)
     nowMs += 30
-    for (const { id } of due.filter(({ atMs }) => atMs > nowMs - 30 && atMs <= nowMs)) {
+    for (const { id } of retries.filter(({ atMs }) => atMs > nowMs - 30 && atMs <= nowMs)) {
       returned += 1
-      if (admit(`${id}#1`).admitted) met += 1
+      if (admit(`${id}#1`).admitted) admitted += 1
     }
   }
   t.true(returned > 50)
-  t.true(met / returned >= 0.9, `${met} of ${returned} met`)
+  t.true(admitted / returned >= 0.9, `${admitted} of ${returned} met`)
 })
 
-test('times to come back are spread', (t) => {
+test('retry delays have jitter', (t) => {
   const { admit } = busyEngine()
   const times = new Set<number>()
   for (let i = 0; i < 100; i++) {
@@ -103,12 +105,12 @@
   t.true(times.size > 20)
 })
 
-test('what can never run is refused with the reason', (t) => {
-  const { engine } = engineWith('resources', host('h1'))
+test('work that can never run is refused with a reason', (t) => {
+  const { engine } = createEngine('resources', host('h1'))
   engine.putTeam({ name: 'small', maxSlots: 1, maxCores: 2, maxAccelerators: 0 })
   const large = engine.admit(work('large', { resources: { cores: 9, memoryBytes: 0, accelerators: 0 } }))
   t.like(large, { admitted: false, reason: 'infeasible' })
   const overQuota = engine.admit(work('quota', { team: 'small', resources: { cores: 3, memoryBytes: 0, accelerators: 0 } }))
   t.like(overQuota, { admitted: false, reason: 'quota' })
-  t.like(engineWith('slots').engine.admit(work('nowhere')), { admitted: false, reason: 'noUpstream' })
+  t.like(createEngine('slots').engine.admit(work('nowhere')), { admitted: false, reason: 'noUpstream' })
 })
--- a/src/common/policy/Admission.ts
+++ b/src/common/policy/Admission.ts
@@ -1,53 +1,53 @@
 /**
- * Whether work may wait here: by the wait to expect against its deadline, from the drain rate that was measured.
+ * Decides whether work may be queued, by comparing its expected wait at the measured drain rate with its deadline.
  */
 
 import { DrainRate } from './DrainRate.js'
-import { ReturnBook } from './ReturnBook.js'
+import { RetryPromises } from './RetryPromises.js'
 
 import type { IClock, IRandom, MonotonicMs, OutcomeReason } from '../Types.js'
 import type { ProfileQueue } from './ProfileQueue.js'
 import type { AdmitDecision, IWorkItem } from './Types.js'
 
-/** The most items waiting in one engine, for memory: about 500 bytes each. */
+/** The most items queued in one engine; limits memory, at about 500 bytes an item. */
 const MAX_QUEUED = 200_000
 
-/** While the wait is below this share of what the deadline allows, newcomers are taken in whatever was promised to others. */
-const UNPROMISED_SHARE = 0.3
+/** Below this share of the allowed wait, first-time work is admitted whatever was promised to refused work. */
+const ALWAYS_ADMITTED_SHARE = 0.3
 
-/** Newcomers beyond that are taken in as long as the wait with all promises stays below this share. */
-const NEWCOMER_SHARE = 0.7
+/** Above that, first-time work is admitted while the wait including all promises stays below this share. */
+const FIRST_TIME_SHARE = 0.7
 
-/** Those who come back find room as long as the wait stays below this share: the rest covers an error in the rate. */
-const RETURNER_SHARE = 0.9
+/** Returning work is admitted while the wait stays below this share; the rest covers an error in the rate. */
+const RETURNING_SHARE = 0.9
 
-/** Times to come back: not so soon that refusing costs more than running, not so late that callers forget. */
+/** Bounds of the retry delay: below the minimum, refusing costs more than running; above the maximum, callers forget to return. */
 const MIN_RETRY_AFTER_MS = 100
 const MAX_RETRY_AFTER_MS = 600_000
 
-/** When nothing is known about when it will be better. */
+/** The retry delay when nothing is known about when capacity will be available. */
 const UNKNOWN_RETRY_AFTER_MS = 1_000
 
-/** Times to come back are spread by up to this share, so that the refused don't come back together. */
-const RETRY_SPREAD = 0.3
+/** Retry delays get random jitter of up to this share, so that refused callers don't return at the same moment. */
+const RETRY_JITTER_SHARE = 0.3
 
-/** A drain rate below this is taken as this, so that a stalled profile gives a long wait and no division by zero. */
-const LEAST_DRAIN_PER_MS = 1e-6
+/** The lower limit of the drain rate, so that a stalled profile gives a long wait and no division by zero. */
+const MIN_DRAIN_PER_MS = 1e-6
 
 export interface IAdmissionRequest {
   readonly item: IWorkItem
   readonly queue: ProfileQueue
   readonly costMs: number
-  /** How long it may wait and still end in time, in milliseconds. */
+  /** How long the item may wait and still end in time, in milliseconds. */
   readonly slackMs: number
   readonly totalQueued: number
-  /** The share of the capacity that the profile could have now, for the time before its rate is measured. */
+  /** The share of the capacity that the profile could use now; serves as its drain rate until the rate is measured. */
   readonly priorRate: number
 }
 
 interface IProfileState {
   readonly rate: DrainRate
-  readonly promised: ReturnBook
+  readonly promises: RetryPromises
 }
 
 export class Admission {
@@ -56,83 +56,86 @@
   public constructor (private readonly _clock: IClock, private readonly _random: IRandom) {}
 
   /**
-   * Takes the work in or refuses it at once.
+   * Admits the work or refuses it at once.
    *
-   * Made for demand at twice the capacity and more. Taking everything in makes each wait longer than its deadline: one
-   * sees hosts busy with work whose callers have left, and no answer in time. Refusing by the expected wait keeps what is
-   * taken in within its deadline. What is refused gets a time by which the backlog, with all earlier promises, will have
-   * drained, and the room then is kept for it: without that, newcomers take it and the same caller is refused again and
-   * again. A caller's own backlog counts rather than that of a caller who floods the profile.
+   * Under demand of twice the capacity and more, admitting everything would make each wait longer than its deadline:
+   * hosts would work for callers that have left, and no answer would arrive in time. Refusing by the expected wait
+   * keeps the admitted work within its deadline.
+   *
+   * Refused work gets a retry time by which the backlog, including all earlier promises, will have drained, and the
+   * capacity at that time is promised to it. Without a promise, first-time work would use that capacity and the same
+   * caller would be refused again and again. A caller's wait is computed from its own backlog, so that one caller that
+   * floods the profile doesn't delay the others.
    */
   public decide (request: IAdmissionRequest): AdmitDecision {
     const nowMs = this._clock.nowMs()
-    const state = this._state(request.queue.profile.name)
-    state.promised.expire(nowMs)
-    const isReturner = state.promised.take(promiseKey(request.item), nowMs)
+    const state = this._stateOf(request.queue.profile.name)
+    state.promises.removeExpired(nowMs)
+    const isReturning = state.promises.redeem(promiseKey(request.item), nowMs)
     if (request.totalQueued >= MAX_QUEUED) return this.refuse('overloaded', 'the queue is full')
-    const perMs = Math.max(state.rate.perMs(request.priorRate, nowMs), LEAST_DRAIN_PER_MS)
+    const perMs = Math.max(state.rate.perMs(request.priorRate, nowMs), MIN_DRAIN_PER_MS)
     const waitMs = this._waitMs(request, perMs, undefined)
-    if (isReturner && waitMs <= RETURNER_SHARE * request.slackMs) return { admitted: true, expectedWaitMs: waitMs }
-    if (waitMs <= UNPROMISED_SHARE * request.slackMs) return { admitted: true, expectedWaitMs: waitMs }
-    const promisedWaitMs = this._waitMs(request, perMs, state.promised)
-    if (promisedWaitMs <= NEWCOMER_SHARE * request.slackMs) return { admitted: true, expectedWaitMs: waitMs }
-    return this._refuseLate(request, state, promisedWaitMs, nowMs)
+    if (isReturning && waitMs <= RETURNING_SHARE * request.slackMs) return { admitted: true, expectedWaitMs: waitMs }
+    if (waitMs <= ALWAYS_ADMITTED_SHARE * request.slackMs) return { admitted: true, expectedWaitMs: waitMs }
+    const promisedWaitMs = this._waitMs(request, perMs, state.promises)
+    if (promisedWaitMs <= FIRST_TIME_SHARE * request.slackMs) return { admitted: true, expectedWaitMs: waitMs }
+    return this._refuseWithPromise(request, state, promisedWaitMs, nowMs)
   }
 
   public refuse (reason: OutcomeReason, detail: string): AdmitDecision {
-    return { admitted: false, reason, detail, retryAfterMs: this.spread(UNKNOWN_RETRY_AFTER_MS) }
+    return { admitted: false, reason, detail, retryAfterMs: this.withJitter(UNKNOWN_RETRY_AFTER_MS) }
   }
 
-  /** The wait that the profile's last item would have now. */
+  /** The wait that the last queued item of the profile would have now. */
   public expectedWaitMs (queue: ProfileQueue, priorRate: number): number {
     if (queue.queuedCount === 0) return 0
-    const perMs = this._state(queue.profile.name).rate.perMs(priorRate, this._clock.nowMs())
-    return queue.queuedCostMs / Math.max(perMs, LEAST_DRAIN_PER_MS)
+    const perMs = this._stateOf(queue.profile.name).rate.perMs(priorRate, this._clock.nowMs())
+    return queue.queuedCostMs / Math.max(perMs, MIN_DRAIN_PER_MS)
   }
 
-  public noteQueued (queue: ProfileQueue): void {
-    if (queue.queuedCount === 1) this._state(queue.profile.name).rate.startBacklog(this._clock.nowMs())
+  public recordQueued (queue: ProfileQueue): void {
+    if (queue.queuedCount === 1) this._stateOf(queue.profile.name).rate.startBacklog(this._clock.nowMs())
   }
 
-  public noteStarted (queue: ProfileQueue, costMs: number): void {
-    const { rate } = this._state(queue.profile.name)
-    rate.noteStarted(costMs, this._clock.nowMs())
+  public recordDequeued (queue: ProfileQueue, costMs: number): void {
+    const { rate } = this._stateOf(queue.profile.name)
+    rate.recordDrained(costMs, this._clock.nowMs())
     if (queue.queuedCount === 0) rate.endBacklog()
   }
 
-  public spread (delayMs: number): number {
+  public withJitter (delayMs: number): number {
     const bounded = Math.min(Math.max(delayMs, MIN_RETRY_AFTER_MS), MAX_RETRY_AFTER_MS)
-    return Math.ceil(bounded * (1 + RETRY_SPREAD * this._random.next()))
+    return Math.ceil(bounded * (1 + RETRY_JITTER_SHARE * this._random.next()))
   }
 
-  private _refuseLate (request: IAdmissionRequest, state: IProfileState, waitMs: number, nowMs: MonotonicMs): AdmitDecision {
+  private _refuseWithPromise (request: IAdmissionRequest, state: IProfileState, waitMs: number, nowMs: MonotonicMs): AdmitDecision {
     const { item, costMs, slackMs } = request
-    const retryAfterMs = this.spread(waitMs - UNPROMISED_SHARE * Math.max(slackMs, 0))
-    state.promised.add(promiseKey(item), item.caller, costMs, nowMs + retryAfterMs)
+    const retryAfterMs = this.withJitter(waitMs - ALWAYS_ADMITTED_SHARE * Math.max(slackMs, 0))
+    state.promises.add(promiseKey(item), item.caller, costMs, nowMs + retryAfterMs)
     const detail = `expected wait ${Math.round(waitMs)} ms, ${Math.max(0, Math.round(slackMs))} ms allowed`
     return { admitted: false, reason: 'overloaded', detail, retryAfterMs }
   }
 
-  /** The lesser of the whole queue's wait and the caller's own, were the profile shared evenly among its callers. */
-  private _waitMs (request: IAdmissionRequest, perMs: number, promised: ReturnBook | undefined): number {
+  /** The smaller of the whole queue's wait and the caller's own wait if the profile were shared evenly among its callers. */
+  private _waitMs (request: IAdmissionRequest, perMs: number, promised: RetryPromises | undefined): number {
     const { queue, item, costMs } = request
-    const share = queue.caller(item.caller)
-    const allMs = queue.queuedCostMs + (promised?.costMs ?? 0)
-    const ownMs = costMs + (share?.queuedCostMs ?? 0) + (promised?.costOf(item.caller) ?? 0)
-    const callers = queue.activeCallers + (share === undefined || share.queuedCount === 0 ? 1 : 0)
-    return Math.min(allMs, ownMs * callers) / perMs
+    const callerState = queue.caller(item.caller)
+    const totalCostMs = queue.queuedCostMs + (promised?.costMs ?? 0)
+    const callerCostMs = costMs + (callerState?.queuedCostMs ?? 0) + (promised?.costOf(item.caller) ?? 0)
+    const activeCallers = queue.activeCallers + (callerState === undefined || callerState.queuedCount === 0 ? 1 : 0)
+    return Math.min(totalCostMs, callerCostMs * activeCallers) / perMs
   }
 
-  private _state (profile: string): IProfileState {
+  private _stateOf (profile: string): IProfileState {
     const known = this._states.get(profile)
     if (known !== undefined) return known
-    const state: IProfileState = { rate: new DrainRate(), promised: new ReturnBook() }
+    const state: IProfileState = { rate: new DrainRate(), promises: new RetryPromises() }
     this._states.set(profile, state)
     return state
   }
 }
 
-/** Attempts of one request share its id up to the number sign, so that a promise holds for the next attempt too. */
+/** Attempts of one request share the part of the id before the number sign, so that a promise also holds for the next attempt. */
 function promiseKey (item: IWorkItem): string {
   const end = item.id.indexOf('#')
   return end < 0 ? item.id : item.id.slice(0, end)
--- a/src/common/policy/EngineReport.ts
+++ b/src/common/policy/EngineReport.ts
@@ -1,5 +1,5 @@
 /**
- * What an engine tells about itself: its load for peers, its state for a person.
+ * Reports the state of an engine: its load for other schedulers, a state dump for operators.
  */
 
 import { classRank } from './FairQueue.js'
@@ -7,27 +7,27 @@
 import type { Admission } from './Admission.js'
 import type { CapacityLedger } from './CapacityLedger.js'
 import type { FairQueue } from './FairQueue.js'
-import type { GroupBook } from './GroupBook.js'
+import type { GroupStore } from './GroupStore.js'
 import type { HostIndex } from './HostIndex.js'
 import type { ProfileQueue } from './ProfileQueue.js'
 import type { IEngineLoad } from './Types.js'
-import type { UseLedger } from './UseLedger.js'
+import type { UsageTracker } from './UsageTracker.js'
 
-/** Lines of each kind in a dump. */
+/** The maximum number of entries of each kind in a dump. */
 export const MAX_DUMPED = 100
 
 export class EngineReport {
   public constructor (
     private readonly _ledger: CapacityLedger,
     private readonly _index: HostIndex,
-    private readonly _use: UseLedger,
+    private readonly _usage: UsageTracker,
     private readonly _queue: FairQueue,
-    private readonly _book: GroupBook,
+    private readonly _groupStore: GroupStore,
     private readonly _admission: Admission
   ) {}
 
   public queuedCount (): number {
-    return this._queue.size + this._book.itemCount
+    return this._queue.size + this._groupStore.itemCount
   }
 
   public load (): IEngineLoad {
@@ -50,13 +50,13 @@
     }
   }
 
-  /** The share that the profile could have: what profiles that go before it don't use, and its floor in any case. */
+  /** The share of the capacity that the profile could have: what the profiles that go before it leave unused, and at least its floor. */
   public priorRate (queue: ProfileQueue): number {
     const rank = classRank(queue.profile.priorityClass)
     let others = 0
     for (const other of this._queue.profiles()) {
       if (other === queue || classRank(other.profile.priorityClass) > rank) continue
-      others += this._use.profileShare(other.profile.name, this._ledger.capacity)
+      others += this._usage.profileShare(other.profile.name, this._ledger.capacity)
     }
     return Math.max(1 - others, this._queue.floorShare(queue))
   }
@@ -67,8 +67,8 @@
       profile: name,
       queued: queue.queuedCount,
       callers: queue.activeCallers,
-      running: this._use.profileCount(name),
-      share: this._use.profileShare(name, this._ledger.capacity),
+      running: this._usage.profileCount(name),
+      share: this._usage.profileShare(name, this._ledger.capacity),
       expectedWaitMs: this._admission.expectedWaitMs(queue, this.priorRate(queue))
     }
   }
--- a/src/common/policy/GroupBook.ts
+++ b/src/common/policy/GroupStore.ts
@@ -1,5 +1,5 @@
 /**
- * The all-at-once jobs that wait, and the places held for them.
+ * Stores the waiting all-at-once jobs (groups) and the capacity held for them.
  */
 
 import { fits } from './Resources.js'
@@ -19,35 +19,35 @@
 
 export interface IGroup {
   readonly groupId: string
-  /** The largest first: where it doesn't fit, nothing else needs to be tried. */
+  /** The largest first: if it doesn't fit, the others need not be tried. */
   readonly tasks: IGroupTask[]
   readonly holds: Map<string, IHold>
-  /** Class rank of its profile; the lowest goes first. */
+  /** The class rank of its profile; the lowest goes first. */
   readonly rank: number
   readonly expiresAtMs: MonotonicMs
-  /** False for a part of a job that spans schedulers: it starts when its coordinator says so. */
+  /** False for a part of a job that spans schedulers: its coordinator starts it. */
   readonly startsItself: boolean
   queuedAtMs: MonotonicMs
   gatheringSinceMs: MonotonicMs | undefined
-  /** By when the hosts that are being emptied for it were expected to have room. */
+  /** When the hosts that are drained for it are expected to have enough free capacity. */
   startsAtMs: MonotonicMs
 }
 
-/** Told of each place that is held or let go. */
+/** Notified of each hold that is added (1) or released (-1). */
 export interface IHoldObserver {
   holdChanged (item: IWorkItem, host: LedgerHost, sign: 1 | -1): void
 }
 
-export class GroupBook {
+export class GroupStore {
   private readonly _groups = new Map<string, IGroup>()
-  private readonly _groupOf = new Map<string, IGroup>()
-  private readonly _holding = new Set<IGroup>()
+  private readonly _groupByItemId = new Map<string, IGroup>()
+  private readonly _groupsWithHolds = new Set<IGroup>()
   private _earliestExpiryMs: MonotonicMs = Infinity
 
   public constructor (private readonly _ledger: CapacityLedger, private readonly _observer: IHoldObserver) {}
 
   public get itemCount (): number {
-    return this._groupOf.size
+    return this._groupByItemId.size
   }
 
   public get groupCount (): number {
@@ -62,9 +62,9 @@
     return this._groups.values()
   }
 
-  /** The groups that hold at least one place. */
-  public holding (): IterableIterator<IGroup> {
-    return this._holding.values()
+  /** The groups that have at least one hold. */
+  public groupsWithHolds (): IterableIterator<IGroup> {
+    return this._groupsWithHolds.values()
   }
 
   public group (groupId: string): IGroup | undefined {
@@ -74,46 +74,46 @@
   public add (group: IGroup): void {
     group.tasks.sort((a, b) => this._ledger.shareOf(b.need) - this._ledger.shareOf(a.need))
     this._groups.set(group.groupId, group)
-    for (const { item } of group.tasks) this._groupOf.set(item.id, group)
+    for (const { item } of group.tasks) this._groupByItemId.set(item.id, group)
     this._earliestExpiryMs = Math.min(this._earliestExpiryMs, group.expiresAtMs)
   }
 
-  /** Forgets the group and gives its room back. */
-  public drop (groupId: string): IGroup | undefined {
+  /** Removes the group and releases its holds. */
+  public remove (groupId: string): IGroup | undefined {
     const group = this._groups.get(groupId)
     if (group === undefined) return undefined
-    this.giveBack(group)
+    this.releaseHolds(group)
     this._groups.delete(groupId)
-    for (const { item } of group.tasks) this._groupOf.delete(item.id)
+    for (const { item } of group.tasks) this._groupByItemId.delete(item.id)
     return group
   }
 
   public has (itemId: string): boolean {
-    return this._groupOf.has(itemId)
+    return this._groupByItemId.has(itemId)
   }
 
-  /** Takes one item out; the rest of its group still starts together. */
+  /** Removes one item; the rest of its group still starts together. */
   public cancelItem (itemId: string): boolean {
-    const group = this._groupOf.get(itemId)
+    const group = this._groupByItemId.get(itemId)
     if (group === undefined) return false
-    this._groupOf.delete(itemId)
+    this._groupByItemId.delete(itemId)
     this._release(group, itemId)
     group.tasks.splice(group.tasks.findIndex(({ item }) => item.id === itemId), 1)
-    if (group.tasks.length === 0) this.drop(group.groupId)
+    if (group.tasks.length === 0) this.remove(group.groupId)
     return true
   }
 
-  /** Places held on a host that is gone or gets nothing new are looked for anew. */
-  public forgetHost (host: LedgerHost): void {
-    for (const group of this._holding) {
+  /** Releases all holds on a host that was removed or accepts no new work; their groups then need capacity elsewhere. */
+  public releaseHost (host: LedgerHost): void {
+    for (const group of this._groupsWithHolds) {
       for (const hold of group.holds.values()) {
         if (hold.host === host) this._release(group, hold.item.id)
       }
     }
   }
 
-  /** Takes out a group whose time is up. */
-  public takeExpired (nowMs: MonotonicMs): IGroup | undefined {
+  /** Removes and returns a group that has expired. */
+  public removeExpired (nowMs: MonotonicMs): IGroup | undefined {
     if (nowMs < this._earliestExpiryMs) return undefined
     this._earliestExpiryMs = Infinity
     let expired: IGroup | undefined
@@ -121,24 +121,24 @@
       if (group.expiresAtMs <= nowMs) expired ??= group
       if (group !== expired) this._earliestExpiryMs = Math.min(this._earliestExpiryMs, group.expiresAtMs)
     }
-    return expired === undefined ? undefined : this.drop(expired.groupId)
+    return expired === undefined ? undefined : this.remove(expired.groupId)
   }
 
   public hold (group: IGroup, task: IGroupTask, host: LedgerHost): void {
     group.holds.set(task.item.id, { ...task, host })
-    this._holding.add(group)
+    this._groupsWithHolds.add(group)
     this._ledger.hold(host, task.need)
     this._observer.holdChanged(task.item, host, 1)
   }
 
   /** Moves a hold to another host. */
-  public move (group: IGroup, hold: IHold, host: LedgerHost): void {
+  public moveHold (group: IGroup, hold: IHold, host: LedgerHost): void {
     const { item, need } = hold
     this._release(group, item.id)
     this.hold(group, { item, need }, host)
   }
 
-  public giveBack (group: IGroup): void {
+  public releaseHolds (group: IGroup): void {
     for (const itemId of [...group.holds.keys()]) this._release(group, itemId)
     group.gatheringSinceMs = undefined
     group.startsAtMs = 0
@@ -148,7 +148,7 @@
     return group.holds.size === group.tasks.length
   }
 
-  /** Whether every place is held and whatever ran there has ended. */
+  /** Whether every task has a hold and the work that ran in the held capacity has ended. */
   public isReady (group: IGroup): boolean {
     if (!this.isComplete(group)) return false
     for (const { host } of group.holds.values()) {
@@ -157,7 +157,7 @@
     return true
   }
 
-  /** The items whose places are free for them now. */
+  /** The ids of the items whose held capacity is free for them now. */
   public readyIds (group: IGroup): readonly string[] {
     const ready = [...group.holds.values()].filter(({ host }) => fits(host.held, host.unused()))
     return ready.map(({ item }) => item.id)
@@ -167,7 +167,7 @@
     const hold = group.holds.get(itemId)
     if (hold === undefined) return
     group.holds.delete(itemId)
-    if (group.holds.size === 0) this._holding.delete(group)
+    if (group.holds.size === 0) this._groupsWithHolds.delete(group)
     this._ledger.releaseHold(hold.host, hold.need)
     this._observer.holdChanged(hold.item, hold.host, -1)
   }
--- a/src/common/policy/NaiveEngine.ts
+++ b/src/common/policy/NaiveEngine.ts
@@ -1,9 +1,10 @@
 /**
- * The plain decision engine: first come, first served, on the first host with room. The baseline of the bench and the
- * reference of the differential tests, so it is written to be obviously right rather than fast or fair.
+ * A simple decision engine: first come, first served, on the first host with enough free capacity. It is the baseline
+ * of the benchmarks and the reference of the differential tests, so it is written to be obviously correct rather than
+ * fast or fair.
  */
 
-import { NaiveLines } from './NaiveLines.js'
+import { NaiveQueue } from './NaiveQueue.js'
 import { addInto, difference, fits, larger, NO_RESOURCES, subtractFrom, zeroResources } from './Resources.js'
 
 import type { IResources, MonotonicMs, IClock } from '../Types.js'
@@ -18,7 +19,7 @@
   readonly used: IMutableResources
 }
 
-interface INaivePlace {
+interface INaivePlacement {
   readonly item: IWorkItem
   readonly hostId: string
   counted: IResources
@@ -32,11 +33,11 @@
 
 export class NaiveEngine implements IDecisionEngine {
   protected readonly _hosts = new Map<string, INaiveHost>()
-  private readonly _running = new Map<string, INaivePlace>()
-  private readonly _held = new Map<string, INaivePlace>()
+  private readonly _running = new Map<string, INaivePlacement>()
+  private readonly _held = new Map<string, INaivePlacement>()
   private readonly _groups = new Map<string, INaiveGroup>()
   private readonly _ready: EngineDecision[] = []
-  private readonly _waiting = new NaiveLines()
+  private readonly _queue = new NaiveQueue()
 
   public constructor (protected readonly _clock: IClock) {}
 
@@ -57,7 +58,7 @@
   }
 
   public adopt (item: IWorkItem, hostId: string): void {
-    this._count(this._running, item, hostId)
+    this._place(this._running, item, hostId)
   }
 
   public admit (item: IWorkItem): AdmitDecision {
@@ -70,7 +71,7 @@
 
   public cancel (itemId: string): 'queued' | 'running' | 'absent' {
     if (this._running.has(itemId)) return 'running'
-    return this._waiting.cancel(itemId) ? 'queued' : 'absent'
+    return this._queue.cancel(itemId) ? 'queued' : 'absent'
   }
 
   public next (): EngineDecision | undefined {
@@ -81,12 +82,12 @@
   }
 
   public nextWakeAtMs (): MonotonicMs {
-    let wakeAtMs = this._waiting.earliestDeadlineAtMs()
+    let wakeAtMs = this._queue.earliestDeadlineAtMs()
     for (const group of this._groups.values()) wakeAtMs = Math.min(wakeAtMs, group.expiresAtMs)
     return wakeAtMs
   }
 
-  public finished (itemId: string, _end: AttemptEnd, _serviceMs: number): void {
+  public recordEnd (itemId: string, _end: AttemptEnd, _serviceMs: number): void {
     this._release(this._running, itemId)
   }
 
@@ -117,7 +118,7 @@
     if (group === undefined || this.reservedIds(groupId).length < group.items.length) return undefined
     const places = group.items.map((item) => ({ item, hostId: this._held.get(item.id)?.hostId ?? '' }))
     this.dropReservation(groupId)
-    for (const place of places) this._count(this._running, place.item, place.hostId)
+    for (const place of places) this._place(this._running, place.item, place.hostId)
     return places
   }
 
@@ -140,35 +141,35 @@
       if (free.cores > largestFree.cores) largestFree = free
     }
     const expectedWaitMs = { urgent: 0, normal: 0, patient: 0 }
-    return { queued: this._waiting.itemCount, running: this._running.size, capacity, used, largestFree, expectedWaitMs }
+    return { queued: this._queue.itemCount, running: this._running.size, capacity, used, largestFree, expectedWaitMs }
   }
 
   public dump (): Readonly<Record<string, unknown>> {
     return { engine: 'naive', hosts: this._hosts.size, load: this.load() }
   }
 
-  /** The first host with room; subclasses in the bench choose otherwise. */
+  /** Returns the first host with enough free capacity; subclasses in the benchmarks choose differently. */
   protected _chooseHost (item: IWorkItem): INaiveHost | undefined {
     for (const host of this._hosts.values()) {
-      if (this._hasRoom(host, item) && item.avoidHostIds?.includes(host.config.hostId) !== true) return host
+      if (this._hasCapacityFor(host, item) && item.avoidHostIds?.includes(host.config.hostId) !== true) return host
     }
     return item.avoidHostIds === undefined ? undefined : this._chooseAvoided(item)
   }
 
-  /** The line in which an item waits; lower ones go first. */
+  /** The rank of an item's queue; lower ranks go first. */
   protected _rankOf (_item: IWorkItem): number {
     return 0
   }
 
-  protected _hasRoom (host: INaiveHost, item: IWorkItem): boolean {
+  protected _hasCapacityFor (host: INaiveHost, item: IWorkItem): boolean {
     return host.config.accepting && fits(item.resources, difference(host.config.capacity, host.used))
   }
 
-  /** When each other host that could ever hold the item is to be avoided, an avoided one is better than none. */
+  /** If every accepting host that could ever hold the item is to be avoided, returns one of them with enough free capacity. */
   private _chooseAvoided (item: IWorkItem): INaiveHost | undefined {
     const accepting = [...this._hosts.values()].filter((host) => host.config.accepting && fits(item.resources, host.config.capacity))
     const hasOther = accepting.some((host) => item.avoidHostIds?.includes(host.config.hostId) !== true)
-    return hasOther ? undefined : accepting.find((host) => this._hasRoom(host, item))
+    return hasOther ? undefined : accepting.find((host) => this._hasCapacityFor(host, item))
   }
 
   private _enqueue (items: readonly IWorkItem[]): AdmitDecision {
@@ -179,7 +180,7 @@
     }
     const [first] = items
     if (first === undefined) return { admitted: true, expectedWaitMs: 0 }
-    this._waiting.add(this._rankOf(first), items)
+    this._queue.add(this._rankOf(first), items)
     return { admitted: true, expectedWaitMs: 0 }
   }
 
@@ -195,7 +196,7 @@
     for (const group of [...this._groups.values()]) {
       if (group.expiresAtMs <= nowMs) this.dropReservation(group.groupId)
     }
-    for (let late = this._waiting.takeLate(nowMs); late.length > 0; late = this._waiting.takeLate(nowMs)) {
+    for (let late = this._queue.removeExpired(nowMs); late.length > 0; late = this._queue.removeExpired(nowMs)) {
       for (const item of late) this._ready.push({ type: 'giveUp', item, reason: 'deadline', retryAfterMs: RETRY_AFTER_MS })
     }
   }
@@ -204,20 +205,20 @@
     for (const group of this._groups.values()) {
       for (const item of group.items) {
         const host = this._held.has(item.id) ? undefined : this._chooseHost(item)
-        if (host !== undefined) this._count(this._held, item, host.config.hostId)
+        if (host !== undefined) this._place(this._held, item, host.config.hostId)
       }
     }
   }
 
   private _placeHead (): void {
-    const items = this._waiting.first()
+    const items = this._queue.first()
     if (items.length === 0 || !this._placeAll(items)) return
     const nowMs = this._clock.nowMs()
     for (const item of items) {
       const hostId = this._running.get(item.id)?.hostId ?? ''
       this._ready.push({ type: 'place', item, hostId, waitMs: nowMs - item.arrivedAtMs })
     }
-    this._waiting.removeFirst()
+    this._queue.removeFirst()
   }
 
   private _placeAll (items: readonly IWorkItem[]): boolean {
@@ -228,19 +229,19 @@
         for (const id of placed) this._release(this._running, id)
         return false
       }
-      this._count(this._running, item, host.config.hostId)
+      this._place(this._running, item, host.config.hostId)
       placed.push(item.id)
     }
     return true
   }
 
-  private _count (places: Map<string, INaivePlace>, item: IWorkItem, hostId: string): void {
+  private _place (places: Map<string, INaivePlacement>, item: IWorkItem, hostId: string): void {
     places.set(item.id, { item, hostId, counted: item.resources })
     const host = this._hosts.get(hostId)
     if (host !== undefined) addInto(host.used, item.resources)
   }
 
-  private _release (places: Map<string, INaivePlace>, itemId: string): void {
+  private _release (places: Map<string, INaivePlacement>, itemId: string): void {
     const place = places.get(itemId)
     const host = place === undefined ? undefined : this._hosts.get(place.hostId)
     places.delete(itemId)
--- a/src/common/requests/ClaimHolder.ts
+++ b/src/common/requests/ClaimHolder.ts
@@ -1,6 +1,6 @@
 /**
- * Names the process that holds a claim: its id and its incarnation, since a restarted process knows nothing of what the
- * earlier one held.
+ * Encodes the process that holds a claim as text: its id and its incarnation, because a restarted process does not know
+ * what its earlier incarnation held.
  */
 
 import type { IProcessIdentity } from '../Types.js'
@@ -12,11 +12,11 @@
   readonly incarnation: number
 }
 
-export function holderName ({ processId, incarnation }: IProcessIdentity): string {
+export function formatHolder ({ processId, incarnation }: IProcessIdentity): string {
   return `${processId}${SEPARATOR}${incarnation}`
 }
 
 export function parseHolder (name: string): IClaimHolder {
-  const at = name.lastIndexOf(SEPARATOR)
-  return { processId: name.slice(0, at), incarnation: Number(name.slice(at + 1)) }
+  const separatorIndex = name.lastIndexOf(SEPARATOR)
+  return { processId: name.slice(0, separatorIndex), incarnation: Number(name.slice(separatorIndex + 1)) }
 }
--- a/src/daemon/JobSide.ts
+++ b/src/daemon/JobSubsystem.ts
@@ -1,41 +1,44 @@
 /**
- * The jobs of a scheduler process: its decision engine for resources, its workers, and the jobs of its id shards.
+ * The parts of a scheduler process that handle jobs: the decision engine for resources, the pool of workers, the task service, and
+ * the jobs of the id shards that this process owns.
  */
 
 import { DecisionEngine } from '../common/policy/DecisionEngine.js'
 import { loadChart } from '../runtime/ChartLoader.js'
 import { WorkerClient } from '../runtime/WorkerClient.js'
-import { JobOwner, JobPeers, serveJobs, TaskService, WorkerPool } from '../scheduler/jobs/index.js'
+import { JobOwner, JobPeers, registerJobHandlers, TaskService, WorkerPool } from '../scheduler/jobs/index.js'
 
 import type { IDisposable } from '../common/Types.js'
 import type { DaemonCore } from './DaemonCore.js'
-import type { OwnershipSide } from './OwnershipSide.js'
+import type { ShardOwnershipSubsystem } from './ShardOwnershipSubsystem.js'
 
-export class JobSide implements IDisposable {
+export class JobSubsystem implements IDisposable {
   public readonly engine: DecisionEngine
   public readonly tasks: TaskService
   public readonly workers: WorkerPool
   public readonly jobs: JobOwner
 
-  public constructor (core: DaemonCore, ownership: OwnershipSide) {
+  public constructor (core: DaemonCore, ownership: ShardOwnershipSubsystem) {
     const { hub, router, config, hasher, clock, random, log } = core
     const { directory } = ownership
     this.engine = new DecisionEngine(clock, random, { kind: 'resources' })
     const peers = new JobPeers(hub, clock)
     const idShardOf = (jobId: string): string => hasher.idShard(jobId)
-    const common = { engine: this.engine, peers, config, idShardOf, clock, timers: clock, log }
-    this.tasks = new TaskService({ ...common, shards: router })
-    this.workers = new WorkerPool({ ...common, client: new WorkerClient(), directory, shards: ownership.shardEvents() }, this.tasks.runner)
+    const sharedContext = { engine: this.engine, peers, config, idShardOf, clock, timers: clock, log }
+    this.tasks = new TaskService({ ...sharedContext, shards: router })
+    this.workers = new WorkerPool({
+      ...sharedContext, client: new WorkerClient(), directory, shards: ownership.createShardEvents()
+    }, this.tasks.runner)
     this.tasks.runner.setPool(this.workers)
     this.jobs = new JobOwner({
-      ...common,
+      ...sharedContext,
       shards: router,
       jobLog: ownership.claims,
       hosts: () => directory.hosts,
       taskChart: loadChart('task')._unsafeUnwrap(),
       random
     })
-    serveJobs(peers, this.tasks, this.jobs)
+    registerJobHandlers(peers, this.tasks, this.jobs)
   }
 
   public dispose (): void {
--- a/src/peer/MembershipAgent.test.ts
+++ b/src/peer/MembershipAgent.test.ts
@@ -1,5 +1,5 @@
 /**
- * Membership over real links of 127.0.0.1.
+ * Tests of membership over real links on 127.0.0.1.
  */
 
 import test from 'ava'
@@ -15,13 +15,13 @@
 
 const FAST = { heartbeatMs: 50, silenceLimitMs: 500, maxBackoffMs: 100 }
 
-interface IRunning {
+interface IRunningAgent {
   readonly hub: PeerHub
   readonly agent: MembershipAgent
   readonly url: string
 }
 
-async function startAgent (processId: string, seeds: readonly ISeedPeer[], incarnation = 1): Promise<IRunning> {
+async function startAgent (processId: string, seeds: readonly ISeedPeer[], incarnation = 1): Promise<IRunningAgent> {
   const { hub, url } = await startHub(identity(processId, incarnation), FAST)
   const clock = new SystemClock()
   const self = { ...hub.self, role: 'scheduler' as const, peerUrl: url, operatorUrl: 'http://127.0.0.1:1' }
@@ -32,20 +32,20 @@
   return { hub, agent, url }
 }
 
-function stop ({ hub, agent }: IRunning): void {
+function stop ({ hub, agent }: IRunningAgent): void {
   agent.dispose()
   hub.dispose()
 }
 
-function seesAll (observers: readonly IRunning[], processId: string, state: MemberState): boolean {
+function seesAll (observers: readonly IRunningAgent[], processId: string, state: MemberState): boolean {
   return observers.every(({ agent }) => agent.member(processId)?.state === state)
 }
 
 test.after.always(disposeAll)
 
-test('processes that know one other find all, hear of a death, and of a restart under another address', async (t) => {
-  // The store is down. Processes start with one address from their settings; later one of them is killed and started
-  // again. All others must come to know this from each other alone.
+test('processes that know one peer find all members, and learn of a death and of a restart at another address', async (t) => {
+  // The store is unavailable. Processes start with one address from their settings. Later one of them is killed and started
+  // again. All others must learn of this from each other alone.
   const a = await startAgent('a', [])
   const seeds = [{ processId: 'a', peerUrl: a.url }]
   const b = await startAgent('b', seeds)
@@ -54,13 +54,13 @@
   await until(() => b.agent.routableSchedulers().length === 3 - 1 && c.agent.routableSchedulers().length === 3 - 1)
   stop(b)
   await until(() => seesAll([a, c], 'b', 'dead'))
-  const again = await startAgent('b', seeds, 2)
-  await until(() => seesAll([a, c, again], 'b', 'alive') && seesAll([again], 'c', 'alive'))
-  t.is(a.agent.member('b')?.peerUrl, again.url)
-  for (const running of [a, c, again]) stop(running)
+  const restarted = await startAgent('b', seeds, 2)
+  await until(() => seesAll([a, c, restarted], 'b', 'alive') && seesAll([restarted], 'c', 'alive'))
+  t.is(a.agent.member('b')?.peerUrl, restarted.url)
+  for (const running of [a, c, restarted]) stop(running)
 })
 
-test('a process that leaves gets no new work from then on, and is dead when it has gone', async (t) => {
+test('a process that is leaving receives no new work, and is dead after it has stopped', async (t) => {
   const a = await startAgent('a', [])
   const b = await startAgent('b', [{ processId: 'a', peerUrl: a.url }])
   await until(() => a.agent.routableSchedulers().length === 1 && b.agent.routableSchedulers().length === 1)
--- a/src/runtime/RunnerClient.test.ts
+++ b/src/runtime/RunnerClient.test.ts
@@ -1,5 +1,5 @@
 /**
- * The runner client against the stand-in: what is said of a call has to be true of the runner's own record.
+ * Tests the runner client against the stand-in: the outcome of each call must agree with the runner's own record.
  */
 
 import { randomBytes } from 'node:crypto'
@@ -9,7 +9,7 @@
 
 import type { AddressInfo } from 'node:net'
 import { AmbiguousError, FencedError, RefusedError, UnreachableError } from '../common/Errors.js'
-import { hostAt, startRunner } from '../../test/standins/inProcess.js'
+import { createHostRecord, startRunner } from '../../test/standins/inProcess.js'
 import { eventually } from '../../test/support/Eventually.js'
 import { RUNNER_CLIENT_DEFAULTS, RunnerClient } from './RunnerClient.js'
 
@@ -50,38 +50,38 @@
   return runner.dump() as IRunnerDump
 }
 
-test('a megabyte of binary comes back unchanged, and names in any script reach the runner', async (t) => {
+test('a binary body of one megabyte is returned unchanged, and names in any script reach the runner', async (t) => {
   const runner = await startRunner(t)
   const body = randomBytes(1024 * 1024)
   const call = callOf('a1', { body, caller: 'Tierheim Süd / 北', requestId: 'eins, zwei\n%20' })
-  const answer = (await clientOf(t).run(hostAt(runner.url), call))._unsafeUnwrap()
+  const answer = (await clientOf(t).run(createHostRecord(runner.url), call))._unsafeUnwrap()
   t.is(answer.status, 200)
   t.is(answer.contentType, 'application/octet-stream')
   t.true(body.equals(answer.body))
   t.like(dumpOf(runner.standIn).records[0], { caller: call.caller, requestId: call.requestId })
 })
 
-test('a status of the service is an answer and no refusal', async (t) => {
+test('an error status of the service is a response and not a refusal', async (t) => {
   const runner = await startRunner(t)
   runner.standIn.control({ failEverything: true })
-  const answer = (await clientOf(t).run(hostAt(runner.url), callOf('a1')))._unsafeUnwrap()
+  const answer = (await clientOf(t).run(createHostRecord(runner.url), callOf('a1')))._unsafeUnwrap()
   t.is(answer.status, 500)
   t.is(dumpOf(runner.standIn).started, 1)
 })
 
-test('an answer that is cut short is an error', async (t) => {
-  // A runner dies while it sends its answer. Without the check a caller would get half of a list of sightings with a
-  // good status, and take it for the whole.
+test('a truncated response is an error', async (t) => {
+  // A runner dies while it sends its response. Without the check, a caller would get half of a list of sightings with a
+  // success status, and treat it as the whole list.
   const runner = await startRunner(t)
   runner.standIn.control({ services: { chipLookup: { cutRate: 1 } } })
-  const error = (await clientOf(t).run(hostAt(runner.url), callOf('a1')))._unsafeUnwrapErr()
+  const error = (await clientOf(t).run(createHostRecord(runner.url), callOf('a1')))._unsafeUnwrapErr()
   t.true(error instanceof AmbiguousError)
   t.is(dumpOf(runner.standIn).started, 1)
 })
 
-test('an answer without a length is an error', async (t) => {
-  // An upstream that marks the end of its answer by closing can't be told from one that died half-way. The caller
-  // would be shown a short body as a whole one.
+test('a response without a length is an error', async (t) => {
+  // An upstream that ends its response by closing the connection can't be distinguished from one that died half-way. The
+  // caller would get a truncated body as a complete one.
   const server = createServer((socket) => {
     socket.on('error', () => {})
     socket.once('data', () => { socket.end('HTTP/1.1 200 OK\r\nconnection: close\r\n\r\nhalf of') })
@@ -89,61 +89,61 @@
   await new Promise<void>((resolve) => { server.listen(0, '127.0.0.1', resolve) })
   t.teardown(() => { server.close() })
   const url = `http://127.0.0.1:${(server.address() as AddressInfo).port}`
-  t.true((await clientOf(t).run(hostAt(url), callOf('a1')))._unsafeUnwrapErr() instanceof AmbiguousError)
+  t.true((await clientOf(t).run(createHostRecord(url), callOf('a1')))._unsafeUnwrapErr() instanceof AmbiguousError)
 })
 
-test('no slot and leaving are refusals, and nothing has run', async (t) => {
+test('a runner without a free slot or one that is leaving refuses a call, which has not run', async (t) => {
   // Two owners of a runner overlap for a moment, or the host list lags behind a runner that leaves. A caller whose
-  // call is refused there may be told that it did not run.
+  // call is refused there may be told that the call did not run.
   const runner = await startRunner(t, 1)
   runner.standIn.control({ services: { '*': { runMs: LONG_MS } } })
   const client = clientOf(t)
   const abort = new AbortController()
-  const first = client.run(hostAt(runner.url), callOf('a1', { signal: abort.signal }))
-  await eventually('the slot is taken', () => dumpOf(runner.standIn).slotsInUse === 1)
+  const first = client.run(createHostRecord(runner.url), callOf('a1', { signal: abort.signal }))
+  await eventually('the slot is in use', () => dumpOf(runner.standIn).slotsInUse === 1)
   const other = clientOf(t)
-  t.is((await other.run(hostAt(runner.url), callOf('a2')))._unsafeUnwrapErr().constructor, RefusedError)
+  t.is((await other.run(createHostRecord(runner.url), callOf('a2')))._unsafeUnwrapErr().constructor, RefusedError)
   runner.standIn.control({ leaving: true })
-  t.is((await other.run(hostAt(runner.url), callOf('a3')))._unsafeUnwrapErr().constructor, RefusedError)
+  t.is((await other.run(createHostRecord(runner.url), callOf('a3')))._unsafeUnwrapErr().constructor, RefusedError)
   t.deepEqual(dumpOf(runner.standIn).records.map((record) => record.attemptId), ['a1'])
   abort.abort()
   t.true((await first)._unsafeUnwrapErr() instanceof AmbiguousError)
 })
 
-test('an older epoch is fenced and learns the current one', async (t) => {
-  // A scheduler was paused while another took its runners over. What it still sends must not run besides the new
-  // owner's work: farmers would see a pivot started twice.
+test('a call with an older epoch is fenced, and the error contains the current epoch', async (t) => {
+  // A scheduler was paused while another one took over its runners. The calls that it still sends must not run in addition
+  // to the new owner's calls, or a pivot would be started twice.
   const runner = await startRunner(t)
   const client = clientOf(t)
-  const status = (await client.fence(hostAt(runner.url), { shardId: 'shard-1', epoch: 7 }))._unsafeUnwrap()
+  const status = (await client.fence(createHostRecord(runner.url), { shardId: 'shard-1', epoch: 7 }))._unsafeUnwrap()
   t.is(status.slots, 8)
-  const error = (await client.run(hostAt(runner.url), callOf('a1')))._unsafeUnwrapErr()
+  const error = (await client.run(createHostRecord(runner.url), callOf('a1')))._unsafeUnwrapErr()
   t.true(error instanceof FencedError && error.currentEpoch === 7)
   t.is(dumpOf(runner.standIn).started, 0)
 })
 
-test('a host that takes no connections was never reached', async (t) => {
+test('a call to a host that accepts no connections is unreachable', async (t) => {
   const runner = await startRunner(t)
-  runner.server.refuse()
-  t.true((await clientOf(t).run(hostAt(runner.url), callOf('a1')))._unsafeUnwrapErr() instanceof UnreachableError)
+  runner.server.refuseConnections()
+  t.true((await clientOf(t).run(createHostRecord(runner.url), callOf('a1')))._unsafeUnwrapErr() instanceof UnreachableError)
 })
 
 test('a call that times out on the runner may have run', async (t) => {
-  // The runner is slow or its answer is lost. To call this "not run" would have the caller send a broadcast again.
+  // The runner is slow or its response is lost. If the call counted as "not run", the caller would send a broadcast again.
   const runner = await startRunner(t)
   runner.standIn.control({ services: { '*': { hangRate: 1 } } })
-  const error = (await clientOf(t).run(hostAt(runner.url), callOf('a1', { timeoutMs: 300 })))._unsafeUnwrapErr()
+  const error = (await clientOf(t).run(createHostRecord(runner.url), callOf('a1', { timeoutMs: 300 })))._unsafeUnwrapErr()
   t.true(error instanceof AmbiguousError)
   t.is(dumpOf(runner.standIn).started, 1)
 })
 
-test('a call that is given up while it waits for a connection never runs', async (t) => {
-  // All connections are busy, the caller's deadline passes, and it is told "not run". When a connection comes free the
-  // call must not go out after all: a broadcast would be sent that its caller sends again.
+test('a call that times out while it waits for a connection never runs', async (t) => {
+  // All connections are busy, the caller's deadline passes, and the caller is told "not run". The call must not be sent when
+  // a connection becomes free, because the caller sends its broadcast again.
   const runner = await startRunner(t, 8)
   runner.standIn.control({ services: { slow: { runMs: 200 } } })
   const client = clientOf(t)
-  const host = hostAt(runner.url, 'runner', 1)
+  const host = createHostRecord(runner.url, 'runner', 1)
   const first = client.run(host, callOf('a1', { service: 'slow' }))
   const second = client.run(host, callOf('a2', { timeoutMs: 20 }))
   t.true((await second)._unsafeUnwrapErr() instanceof UnreachableError)
@@ -152,9 +152,9 @@
   t.deepEqual(dumpOf(runner.standIn).records.map((record) => record.attemptId), ['a1', 'a3'])
 })
 
-test('a kept connection that the runner closes under a call leaves it ambiguous, and it is written once', async (t) => {
-  // A runner closes idle connections just when a call goes out on one of them. The client can't know whether the
-  // runner read it; sent again on a new connection, a pivot start might run twice.
+test('a call on an idle connection that the runner closes is ambiguous and written once', async (t) => {
+  // A runner closes idle connections just when a call is sent on one of them. The client can't know whether the runner
+  // read the call. If the client sent it again on a new connection, a pivot start could run twice.
   let reads = 0
   const server = createServer((socket) => {
     socket.on('error', () => {})
@@ -166,23 +166,23 @@
   })
   await new Promise<void>((resolve) => { server.listen(0, '127.0.0.1', resolve) })
   t.teardown(() => { server.close() })
-  const host = hostAt(`http://127.0.0.1:${(server.address() as AddressInfo).port}`, 'runner', 1)
+  const host = createHostRecord(`http://127.0.0.1:${(server.address() as AddressInfo).port}`, 'runner', 1)
   const client = clientOf(t)
   t.true((await client.run(host, callOf('a1'))).isOk())
   t.true((await client.run(host, callOf('a2')))._unsafeUnwrapErr() instanceof AmbiguousError)
   t.is(reads, 2)
 })
 
-test('a burst keeps within the slots, and a fence does not wait behind it', async (t) => {
-  // Every slot is busy for a long time when the runner changes hands. The new fence must get through at once, or the
+test('a burst of calls uses no more than the slots, and a fence does not wait behind it', async (t) => {
+  // Every slot is busy for a long time when another owner takes over the runner. The new fence must arrive at once, or the
   // runner's capacity is lost until the long calls end.
   const runner = await startRunner(t)
   runner.standIn.control({ services: { '*': { runMs: LONG_MS } } })
   const client = clientOf(t)
   const aborts = Array.from({ length: 50 }, () => new AbortController())
-  const calls = aborts.map(({ signal }, index) => client.run(hostAt(runner.url), callOf(`a${index}`, { signal })))
-  await eventually('all slots are taken', () => dumpOf(runner.standIn).slotsInUse === 8)
-  const status = (await client.fence(hostAt(runner.url), { shardId: 'shard-1', epoch: 2 }))._unsafeUnwrap()
+  const calls = aborts.map(({ signal }, index) => client.run(createHostRecord(runner.url), callOf(`a${index}`, { signal })))
+  await eventually('all slots are in use', () => dumpOf(runner.standIn).slotsInUse === 8)
+  const status = (await client.fence(createHostRecord(runner.url), { shardId: 'shard-1', epoch: 2 }))._unsafeUnwrap()
   t.is(status.slotsInUse, 8)
   for (const abort of aborts) abort.abort()
   const errors = (await Promise.all(calls)).map((result) => result._unsafeUnwrapErr())
@@ -192,10 +192,10 @@
   t.true(dumpOf(runner.standIn).mostConnections <= 9)
 })
 
-test('an answer beyond the limit is cut off and may have run', async (t) => {
+test('a call whose response exceeds the size limit is ambiguous', async (t) => {
   const runner = await startRunner(t)
   runner.standIn.control({ services: { '*': { answerBytes: 5000 } } })
   const client = new RunnerClient({ ...RUNNER_CLIENT_DEFAULTS, maxAnswerBytes: 4096 })
   t.teardown(() => { client.dispose() })
-  t.true((await client.run(hostAt(runner.url), callOf('a1')))._unsafeUnwrapErr() instanceof AmbiguousError)
+  t.true((await client.run(createHostRecord(runner.url), callOf('a1')))._unsafeUnwrapErr() instanceof AmbiguousError)
 })
--- a/test/policy/TestWork.ts
+++ b/test/policy/TestWork.ts
@@ -1,5 +1,5 @@
 /**
- * Small builders of work, hosts and engines for the tests of the policy.
+ * Builders of work items, hosts and decision engines for the tests of the policy.
  */
 
 import { ManualClock } from '../../src/common/Clock.js'
@@ -9,7 +9,7 @@
 import type { IResources } from '../../src/common/Types.js'
 import type { IProfile } from '../../src/common/config/Types.js'
 import type { EngineDecision, IDecisionEngine, IEngineHost, IWorkItem } from '../../src/common/policy/Types.js'
-import type { CapacityKind } from '../../src/common/policy/UseLedger.js'
+import type { CapacityKind } from '../../src/common/policy/UsageTracker.js'
 
 export function profile (changes: Partial<IProfile> = {}): IProfile {
   return {
@@ -53,24 +53,25 @@
   return { hostId, shardId: 'shard', region: 'lakes-west', failureDomain: 'a', capacity, accepting: true, ...changes }
 }
 
-export function engineWith (kind: CapacityKind, ...hosts: readonly IEngineHost[]): { clock: ManualClock, engine: DecisionEngine } {
+export function createEngine (kind: CapacityKind, ...hosts: readonly IEngineHost[]): { clock: ManualClock, engine: DecisionEngine } {
   const clock = new ManualClock()
   const engine = new DecisionEngine(clock, new SeededRandom(1), { kind })
-  for (const one of hosts) engine.putHost(one)
+  for (const engineHost of hosts) engine.putHost(engineHost)
   return { clock, engine }
 }
 
-export function decisions (engine: IDecisionEngine): readonly EngineDecision[] {
-  const all: EngineDecision[] = []
-  for (let decision = engine.next(); decision !== undefined; decision = engine.next()) all.push(decision)
-  return all
+/** Takes decisions from the engine until it has no more, and returns them. */
+export function takeDecisions (engine: IDecisionEngine): readonly EngineDecision[] {
+  const taken: EngineDecision[] = []
+  for (let decision = engine.next(); decision !== undefined; decision = engine.next()) taken.push(decision)
+  return taken
 }
 
-/** The ids of what is placed now, each with its host. */
-export function placed (engine: IDecisionEngine): Readonly<Record<string, string>> {
-  const places: Record<string, string> = {}
-  for (const decision of decisions(engine)) {
-    if (decision.type === 'place') places[decision.item.id] = decision.hostId
+/** Takes all decisions from the engine; returns the host of each item that was placed, by item id. */
+export function takePlacements (engine: IDecisionEngine): Readonly<Record<string, string>> {
+  const hostByItem: Record<string, string> = {}
+  for (const decision of takeDecisions(engine)) {
+    if (decision.type === 'place') hostByItem[decision.item.id] = decision.hostId
   }
-  return places
+  return hostByItem
 }
--- /dev/null
+++ b/test/soak/InvariantChecker.ts
@@ -0,0 +1,146 @@
+/**
+ * Checks, while a soak runs, the guarantees that callers and hosts are given. It uses only the answers that callers received and
+ * the runs that hosts started and ended.
+ */
+
+import type { IHostEvents } from '../../platform/standins/HostStandIn.js'
+
+export interface ICheckedJob {
+  readonly jobId: string
+  readonly gang: boolean
+  readonly cpu: number
+  /** The number of tasks of each step; a step starts after the step before it is done. */
+  readonly counts: readonly number[]
+  accepted: boolean
+  /** Whether a submission was accepted, or may have been because its answer was lost or left the result open. */
+  isPossiblyAccepted: boolean
+  refusedSubmissions: number
+  cancelledAtMs?: number
+  finalState?: string
+}
+
+interface IRunningTask { readonly hostId: string, readonly run: number }
+interface IDoneTask { readonly hostId: string, readonly atMs: number }
+
+/** A start later than this after the cancellation was acknowledged is a violation, in ms. */
+const CANCEL_SLACK_MS = 3000
+/** If a host was disturbed after, or at most this long before, a run ended there, the owner may never learn of the end; in ms. */
+const UNREPORTED_END_MS = 3000
+const MAX_ATTEMPTS = 6
+
+export class InvariantChecker implements IHostEvents {
+  public readonly violations: string[] = []
+  public readonly jobs = new Map<string, ICheckedJob>()
+  public starts = 0
+  private readonly _runningByHost = new Map<string, Set<string>>()
+  private readonly _runs = new Map<string, IRunningTask>()
+  private readonly _doneTasks = new Map<string, IDoneTask>()
+  private readonly _failures = new Map<string, number>()
+  private readonly _disturbedAtMs = new Map<string, number>()
+
+  public constructor (private readonly _hostCpu: number) {}
+
+  /** Records that the host restarted or that its network path changed, so that its reports may be lost. */
+  public recordDisturbance (hostId: string): void {
+    this._disturbedAtMs.set(hostId, performance.now())
+  }
+
+  public onStart (hostId: string, task: string, run: number): void {
+    this.starts += 1
+    const job = this._jobOf(task)
+    if (job === undefined) return this._report(`${task} run ${run} on ${hostId}: the job was never submitted`)
+    const running = [...this._runs].filter(([key]) => key.startsWith(`${task}@`))
+    if (running.length > 0) this._report(`${task} run ${run} started on ${hostId} while it runs on ${running.map(([, each]) => each.hostId).join()}`)
+    this._checkNotDone(job, task, run, hostId)
+    this._checkStepOrder(job, task)
+    if (job.cancelledAtMs !== undefined && performance.now() - job.cancelledAtMs > CANCEL_SLACK_MS) this._report(`${task} started after its job was cancelled`)
+    if (!job.isPossiblyAccepted && job.refusedSubmissions > 0) this._report(`${task} started although every submission of its job was refused`)
+    if ((this._failures.get(task) ?? 0) >= MAX_ATTEMPTS) this._report(`${task} started again after ${MAX_ATTEMPTS} failed runs`)
+    this._runs.set(`${task}@${hostId}`, { hostId, run })
+    const tasksOnHost = this._runningByHost.get(hostId) ?? new Set<string>()
+    tasksOnHost.add(task)
+    this._runningByHost.set(hostId, tasksOnHost)
+    this._checkCapacity(hostId, tasksOnHost)
+  }
+
+  public onEnd (hostId: string, task: string, _run: number, outcome: string): void {
+    this._runs.delete(`${task}@${hostId}`)
+    this._runningByHost.get(hostId)?.delete(task)
+    if (outcome === 'done') this._doneTasks.set(task, { hostId, atMs: performance.now() })
+    if (outcome === 'failed') this._failures.set(task, (this._failures.get(task) ?? 0) + 1)
+  }
+
+  public recordState (jobId: string, state: string): void {
+    const job = this.jobs.get(jobId)
+    if (job === undefined) return
+    if (job.finalState !== undefined && job.finalState !== state) this._report(`${jobId} was ${job.finalState} and is ${state}`)
+    if (state === 'completed' || state === 'failed' || state === 'cancelled') job.finalState = state
+    if (state === 'completed') this._checkCompleted(job)
+    if (state === 'failed' && !this._hasFailed(job)) this._report(`${jobId} is failed although not enough of its runs failed`)
+    if (state === 'cancelled' && job.cancelledAtMs === undefined) this._report(`${jobId} is cancelled although no caller cancelled it`)
+  }
+
+  public recordUnknownJob (jobId: string): void {
+    const job = this.jobs.get(jobId)
+    if (job?.accepted === true) this._report(`${jobId} was accepted and is unknown now`)
+  }
+
+  /** Records that a process no longer serves a queue of a version that it has served since it started. */
+  public reportConfigRollback (controllerId: string, version: number): void {
+    this._report(`${controllerId} went back to a configuration older than version ${version}`)
+  }
+
+  /** Records that a process doesn't have the newest version although the faults have ended. */
+  public reportOutdatedConfig (controllerId: string, version: number): void {
+    this._report(`${controllerId} does not have version ${version} of the configuration after the faults have ended`)
+  }
+
+  /** Records that an accepted job has not ended although the faults have ended. */
+  public reportUnfinishedJob (jobId: string, state: string): void {
+    this._report(`${jobId} is still ${state} after the faults have ended`)
+  }
+
+  private _checkNotDone (job: ICheckedJob, task: string, run: number, hostId: string): void {
+    const done = this._doneTasks.get(task)
+    if (done === undefined || job.gang) return
+    const disturbedAtMs = this._disturbedAtMs.get(done.hostId) ?? -Infinity
+    if (disturbedAtMs > done.atMs - UNREPORTED_END_MS) return
+    this._report(
+      `${task} run ${run} started on ${hostId} although it was done on ${done.hostId} ${Math.round(performance.now() - done.atMs)} ms before`)
+  }
+
+  private _checkStepOrder (job: ICheckedJob, task: string): void {
+    const step = Number(task.split('.')[2])
+    if (step === 0) return
+    if (!this._isStepDone(job, step - 1)) this._report(`${task} started before step ${step - 1} was done`)
+  }
+
+  private _checkCompleted (job: ICheckedJob): void {
+    job.counts.forEach((_, step) => {
+      if (!this._isStepDone(job, step)) this._report(`${job.jobId} is completed although step ${step} is not done`)
+    })
+  }
+
+  private _isStepDone (job: ICheckedJob, step: number): boolean {
+    const tasks = Array.from({ length: job.counts[step] ?? 0 }, (_, index) => `${job.jobId}.0.${step}.${index}`)
+    return job.gang ? tasks.some((task) => this._doneTasks.has(task)) : tasks.every((task) => this._doneTasks.has(task))
+  }
+
+  private _hasFailed (job: ICheckedJob): boolean {
+    const failures = [...this._failures].filter(([task]) => task.startsWith(job.jobId)).map(([, count]) => count)
+    return job.gang ? failures.reduce((sum, count) => sum + count, 0) >= MAX_ATTEMPTS : Math.max(0, ...failures) >= MAX_ATTEMPTS
+  }
+
+  private _checkCapacity (hostId: string, tasks: ReadonlySet<string>): void {
+    const used = [...tasks].reduce((sum, task) => sum + (this._jobOf(task)?.cpu ?? 0), 0)
+    if (used > this._hostCpu) this._report(`${hostId} runs ${used} of ${this._hostCpu} millicores`)
+  }
+
+  private _jobOf (task: string): ICheckedJob | undefined {
+    return this.jobs.get(task.slice(0, 16))
+  }
+
+  private _report (violation: string): void {
+    this.violations.push(violation)
+  }
+}
